--- a/src/relay/belief/backend_list.rs
+++ b/src/relay/belief/backend_list.rs
@@ -1,8 +1,8 @@
-//! The backend servers that the store lists, and what is known of them beyond their entries.
+//! The backend servers listed in the store, and what is known about them beyond their entries.
 //!
-//! A store that was restored from a copy shows older entries than a host may have seen. Until servers have written
-//! theirs again the host's own knowledge is the newer: who said that it is leaving is leaving, who had gone is not used,
-//! and who is not in the copy has not gone.
+//! A store that was restored from a backup may contain older entries than a host has already seen. Until the servers
+//! have rewritten their entries the host's own knowledge takes precedence: a server that announced that it is leaving
+//! is still leaving, a server that had departed is not used, and a server missing from the backup has not departed.
 
 use {
     super::history::{ChangeHistory, DepartedRun, KindNews, MissingNews},
@@ -17,50 +17,50 @@
     std::{collections::BTreeMap, mem, time::Duration},
 };
 
-/// How long a backend server whose entry lapsed while the store was away is still used: those that
-/// live are listed again within about two seconds of the store's return.
-const LAPSE_GRACE: Duration = Duration::from_millis(1_700);
+/// How long a backend server whose entry expired during a store outage is still used: servers that are alive are
+/// listed again within about two seconds of the end of the outage.
+const EXPIRY_GRACE: Duration = Duration::from_millis(1_700);
 
-/// Heartbeats within which a server that lives has written its entry again after a restore; the store itself takes a
-/// server for gone after as many of silence.
-const HEARTBEATS_TO_RELIST: u32 = 3;
+/// Heartbeat intervals within which a live server has rewritten its entry after a restore. The store itself removes a
+/// server after the same number of intervals without a heartbeat.
+const HEARTBEATS_TO_REWRITE: u32 = 3;
 
-/// How long it is remembered that a run has gone: copies are some seconds old.
-const DEPARTURES_KEPT: Duration = Duration::from_secs(60);
+/// How long the end of a run is remembered; backups are a few seconds old.
+const DEPARTURE_RETENTION: Duration = Duration::from_secs(60);
 
-/// The end of a run of a backend server, which has gone or is leaving whatever a restored entry says.
+/// The end of a run of a backend server that has departed or is leaving, whatever a restored entry says.
 #[derive(Debug, Clone, Copy)]
 struct RunEnd {
     born: u64,
     is_gone: bool,
-    until: Duration,
+    expires_at: Duration,
 }
 
-/// A backend server for a limited time.
+/// A backend server that is kept for a limited time.
 #[derive(Debug, Clone)]
-struct LimitedEntry {
+struct ExpiringEntry {
     info: BackendInfo,
-    until: Duration,
+    expires_at: Duration,
 }
 
-/// The backend servers that the store lists.
+/// The backend servers listed in the store, with corrections after an outage or restore of the store.
 #[derive(Debug)]
 pub struct BackendList {
     listed: BTreeMap<FastStr, BackendInfo>,
-    // Servers that may be used although they are not listed.
-    unlisted: BTreeMap<FastStr, LimitedEntry>,
-    // Servers that are not used although they are listed: their run had gone, or a later one had come, before the store
-    // was restored.
-    withheld: BTreeMap<FastStr, LimitedEntry>,
+    // Servers that may be used even though they are not listed.
+    unlisted: BTreeMap<FastStr, ExpiringEntry>,
+    // Servers that are not used even though they are listed: before the store was restored their run had departed, or a
+    // later one had started.
+    withheld: BTreeMap<FastStr, ExpiringEntry>,
     departed: BTreeMap<FastStr, RunEnd>,
     history: ChangeHistory,
-    relist_time: Duration,
-    // The list may lag and no watch has gone on from it yet.
+    rewrite_timeout: Duration,
+    // The list may have been read from a lagging replica, and no watch has continued from it yet.
     is_unconfirmed: bool,
 }
 
 impl BackendList {
-    /// An empty one; backend servers renew their entries each `heartbeat`.
+    /// An empty list; backend servers renew their entries every `heartbeat`.
     pub fn new(heartbeat: Duration) -> Self {
         Self {
             listed: BTreeMap::new(),
@@ -68,35 +68,36 @@
             withheld: BTreeMap::new(),
             departed: BTreeMap::new(),
             history: ChangeHistory::default(),
-            relist_time: heartbeat.saturating_mul(HEARTBEATS_TO_RELIST),
+            rewrite_timeout: heartbeat.saturating_mul(HEARTBEATS_TO_REWRITE),
             is_unconfirmed: false,
         }
     }
 
-    /// The store's position that the list shows.
+    /// The store position that the list reflects.
     pub fn position(&self) -> StorePosition {
         self.history.position()
     }
 
-    /// Counts the lists and changes that were taken.
+    /// Number of lists and batches of changes that were applied.
     pub fn recorded(&self) -> u64 {
         self.history.recorded()
     }
 
-    /// The list was read from a store that may lag; it is told to nobody until a watch has gone on from it.
+    /// Sets whether the list may have been read from a lagging replica. Such a list is not sent to other hosts until a
+    /// watch has continued from it.
     pub fn set_unconfirmed(&mut self, is_unconfirmed: bool) {
         self.is_unconfirmed = is_unconfirmed;
     }
 
-    /// The store does not have the position of an unconfirmed list.
+    /// Forgets the revision of an unconfirmed list, which the store does not have.
     pub fn drop_unconfirmed(&mut self) {
         if mem::take(&mut self.is_unconfirmed) {
             self.history.forget_revision();
         }
     }
 
-    /// Takes the whole list as of a position, unless a newer one is known. `departed` are runs of which the sender knows
-    /// that they have gone or are leaving; `had_outage` says that entries may have lapsed while the store was away.
+    /// Replaces the list by that of a position, unless a newer one is known. `departed` are the runs that the sender
+    /// knows to have departed or to be leaving; `had_outage` tells that entries may have expired during a store outage.
     pub fn set(
         &mut self,
         list: Vec<BackendInfo>,
@@ -116,8 +117,8 @@
             let known = before.remove(&info.id);
             let withheld = withheld.remove(&info.id);
             match is_restored {
-                true => self.take_restored(info, known, now),
-                false => self.take_listed(info, withheld),
+                true => self.apply_restored(info, known, now),
+                false => self.apply_listed(info, withheld),
             }
         }
         for info in before.into_values() {
@@ -127,14 +128,14 @@
             }
         }
         for run in departed {
-            self.take_departed(run, now);
+            self.apply_departed_run(run, now);
         }
         self.history.restart(position);
         true
     }
 
-    /// Takes changes up to a position, unless a newer one is known. Changes of another era go on from a list that this
-    /// host does not have.
+    /// Applies changes up to a position, unless a newer one is known. Changes of another era are ignored, as they
+    /// continue from a list that this host does not have.
     pub fn change(
         &mut self,
         changes: Vec<StoreChange>,
@@ -151,15 +152,15 @@
                 StoreChange::Set(StoreItem {
                     value: StoreValue::Backend(info),
                     ..
-                }) => self.take_written(info.clone()),
+                }) => self.apply_written(info.clone()),
                 StoreChange::Set(_) => {}
-                StoreChange::Removed(id) => self.take_removed(id, had_outage, now),
+                StoreChange::Removed(id) => self.apply_removed(id, had_outage, now),
             }
         }
         self.history.record(position, changes);
     }
 
-    /// Takes what another host told.
+    /// Applies an update received from another host.
     pub fn take_news(&mut self, news: KindNews, had_outage: bool, now: Duration) {
         let KindNews {
             position,
@@ -174,7 +175,7 @@
         self.set(list, &departed, position, had_outage, now);
     }
 
-    /// What another host lacks that knows everything up to `held`.
+    /// The update for another host that knows everything up to `held`; empty while the list is unconfirmed.
     pub fn news(&self, held: StorePosition) -> KindNews {
         if self.is_unconfirmed {
             return KindNews::default();
@@ -194,18 +195,18 @@
                 position,
                 is_whole: true,
                 changes: self.entries().map(StoreChange::Set).collect(),
-                departed: self.departed_runs(),
+                departed: self.departed_run_list(),
             },
         }
     }
 
-    // As the store has them.
+    // All entries that the store lists, including withheld ones.
     fn entries(&self) -> impl Iterator<Item = StoreItem> {
         let withheld = self.withheld.values().map(|entry| &entry.info);
         self.listed.values().chain(withheld).map(backend_item)
     }
 
-    fn departed_runs(&self) -> Vec<DepartedRun> {
+    fn departed_run_list(&self) -> Vec<DepartedRun> {
         let runs = self.departed.iter().map(|(id, run)| DepartedRun {
             id: id.clone(),
             born: run.born,
@@ -214,10 +215,10 @@
         runs.collect()
     }
 
-    // An entry of a copy that is older than what is known.
-    fn take_restored(&mut self, info: BackendInfo, known: Option<BackendInfo>, now: Duration) {
+    // Applies an entry of a restored store, which may be older than the known one.
+    fn apply_restored(&mut self, info: BackendInfo, known: Option<BackendInfo>, now: Duration) {
         let known = known.or_else(|| Some(self.unlisted.remove(&info.id)?.info));
-        if self.has_gone(&info) {
+        if self.is_departed(&info) {
             return self.withhold(info, now);
         }
         match known {
@@ -226,26 +227,26 @@
                 self.withhold(info, now);
             }
             Some(known) if known.born == info.born && known.leaving => {
-                self.note_run(&known.id, known.born, false, Duration::MAX);
-                self.take_written(info);
+                self.record_run_end(&known.id, known.born, false, Duration::MAX);
+                self.apply_written(info);
             }
-            _ => self.take_written(info),
+            _ => self.apply_written(info),
         }
     }
 
-    // An entry of a list that goes on from what is known: one that was withheld still stands as it did.
-    fn take_listed(&mut self, info: BackendInfo, withheld: Option<LimitedEntry>) {
+    // Applies an entry of a list of the current era: a withheld entry of the same run is still withheld.
+    fn apply_listed(&mut self, info: BackendInfo, withheld: Option<ExpiringEntry>) {
         match withheld.filter(|entry| entry.info.born == info.born) {
-            Some(LimitedEntry { until, .. }) => {
-                let entry = LimitedEntry { info, until };
+            Some(ExpiringEntry { expires_at, .. }) => {
+                let entry = ExpiringEntry { info, expires_at };
                 self.withheld.insert(entry.info.id.clone(), entry);
             }
-            None => self.take_written(info),
+            None => self.apply_written(info),
         }
     }
 
-    // The server has written its entry: it lives.
-    fn take_written(&mut self, mut info: BackendInfo) {
+    // Lists a server that has written its entry and is therefore alive.
+    fn apply_written(&mut self, mut info: BackendInfo) {
         self.unlisted.remove(&info.id);
         self.withheld.remove(&info.id);
         let run = self.departed.get(&info.id);
@@ -258,18 +259,19 @@
         self.listed.insert(info.id.clone(), info);
     }
 
-    fn take_removed(&mut self, id: &FastStr, had_outage: bool, now: Duration) {
+    fn apply_removed(&mut self, id: &FastStr, had_outage: bool, now: Duration) {
         let withheld = self.withheld.remove(id).map(|entry| entry.info);
         let unlisted = self.unlisted.remove(id);
         match (self.listed.remove(id).or(withheld), unlisted) {
             (Some(info), _) => self.remove(info, had_outage, now),
-            (None, Some(entry)) => self.note_gone(id, entry.info.born, now),
+            (None, Some(entry)) => self.record_departure(id, entry.info.born, now),
             (None, None) => {}
         }
     }
 
-    // The sender of a list knows that a run has gone or is leaving, be it that the list shows it as current.
-    fn take_departed(&mut self, run: &DepartedRun, now: Duration) {
+    // Applies the sender's knowledge that a run has departed or is leaving, even if the sender's list shows it as
+    // current.
+    fn apply_departed_run(&mut self, run: &DepartedRun, now: Duration) {
         let is_later = |info: &BackendInfo| info.born > run.born;
         let unlisted = self.unlisted.get(&run.id).map(|entry| &entry.info);
         let current = self.listed.get(&run.id).or(unlisted);
@@ -283,73 +285,75 @@
         let listed = self.listed.remove(&run.id);
         let is_listed = listed.as_ref().is_some_and(|info| info.born == run.born);
         match run.is_gone || !is_listed {
-            true => self.note_run(&run.id, run.born, run.is_gone, now + DEPARTURES_KEPT),
-            false => self.note_run(&run.id, run.born, false, Duration::MAX),
+            true => self.record_run_end(&run.id, run.born, run.is_gone, now + DEPARTURE_RETENTION),
+            false => self.record_run_end(&run.id, run.born, false, Duration::MAX),
         }
         match listed {
-            Some(info) if self.has_gone(&info) => self.withhold(info, now),
-            Some(info) => self.take_written(info),
+            Some(info) if self.is_departed(&info) => self.withhold(info, now),
+            Some(info) => self.apply_written(info),
             None => {}
         }
     }
 
-    // An entry that is removed while the store is well means that its server leaves.
+    // An entry that is removed while the store is available means that its server has departed.
     fn remove(&mut self, info: BackendInfo, had_outage: bool, now: Duration) {
         if had_outage && !info.leaving {
-            let until = now + LAPSE_GRACE;
-            let entry = LimitedEntry { info, until };
+            let expires_at = now + EXPIRY_GRACE;
+            let entry = ExpiringEntry { info, expires_at };
             self.unlisted.insert(entry.info.id.clone(), entry);
             return;
         }
-        self.note_gone(&info.id, info.born, now);
+        self.record_departure(&info.id, info.born, now);
     }
 
-    fn note_gone(&mut self, id: &FastStr, born: u64, now: Duration) {
-        self.note_run(id, born, true, now + DEPARTURES_KEPT);
+    fn record_departure(&mut self, id: &FastStr, born: u64, now: Duration) {
+        self.record_run_end(id, born, true, now + DEPARTURE_RETENTION);
     }
 
-    fn note_run(&mut self, id: &FastStr, born: u64, is_gone: bool, until: Duration) {
+    fn record_run_end(&mut self, id: &FastStr, born: u64, is_gone: bool, expires_at: Duration) {
         let end = RunEnd {
             born,
             is_gone,
-            until,
+            expires_at,
         };
         self.departed.insert(id.clone(), end);
     }
 
-    // Whether the run of an entry has gone, or a later one under its name has come.
-    fn has_gone(&self, info: &BackendInfo) -> bool {
+    // Whether the run of an entry has departed, or a later run with the same id has started.
+    fn is_departed(&self, info: &BackendInfo) -> bool {
         let run = self.departed.get(&info.id);
         run.is_some_and(|run| run.born > info.born || (run.is_gone && run.born == info.born))
     }
 
     fn withhold(&mut self, info: BackendInfo, now: Duration) {
-        let until = now.saturating_add(self.relist_time);
-        let entry = LimitedEntry { info, until };
+        let expires_at = now.saturating_add(self.rewrite_timeout);
+        let entry = ExpiringEntry { info, expires_at };
         self.withheld.insert(entry.info.id.clone(), entry);
     }
 
-    // The copy does not have it: it was not yet written.
+    // Keeps a server that the backup lacks because its entry had not yet been written.
     fn keep_unlisted(&mut self, info: BackendInfo, now: Duration) {
         if info.leaving {
-            return self.note_run(&info.id, info.born, false, now + DEPARTURES_KEPT);
+            return self.record_run_end(&info.id, info.born, false, now + DEPARTURE_RETENTION);
         }
-        let until = now.saturating_add(self.relist_time);
-        let entry = LimitedEntry { info, until };
+        let expires_at = now.saturating_add(self.rewrite_timeout);
+        let entry = ExpiringEntry { info, expires_at };
         self.unlisted.insert(entry.info.id.clone(), entry);
     }
 
-    /// Evicts what was kept for a time that is over: servers that were not listed again are gone, those whose entry
-    /// still stands live. Gives whether other servers may be used than before.
+    /// Evicts entries whose retention time is over: unlisted servers that were not listed again are dropped, and
+    /// withheld servers whose entry is still listed are alive. Returns whether the set of usable servers changed.
     pub fn expire(&mut self, now: Duration) -> bool {
-        self.departed.retain(|_, run| now < run.until);
+        self.departed.retain(|_, run| now < run.expires_at);
         let before = self.unlisted.len();
-        self.unlisted.retain(|_, entry| now < entry.until);
-        let expired = self.withheld.extract_if(.., |_, entry| now >= entry.until);
+        self.unlisted.retain(|_, entry| now < entry.expires_at);
+        let expired = self
+            .withheld
+            .extract_if(.., |_, entry| now >= entry.expires_at);
         let returned: Vec<BackendInfo> = expired.map(|(_, entry)| entry.info).collect();
         let has_changed = self.unlisted.len() != before || !returned.is_empty();
         for info in returned {
-            self.take_written(info);
+            self.apply_written(info);
         }
         has_changed
     }
@@ -360,13 +364,13 @@
         self.listed.values().chain(unlisted).cloned().collect()
     }
 
-    /// The backend servers that are listed.
+    /// The listed backend servers.
     pub fn listed(&self) -> impl Iterator<Item = &BackendInfo> {
         self.listed.values()
     }
 }
 
-// Positions of single objects are not kept: nothing is written under their condition.
+// Positions of individual objects are not kept, since no conditional write uses them.
 fn backend_item(info: &BackendInfo) -> StoreItem {
     StoreItem {
         name: info.id.clone(),
--- a/src/relay/belief/cluster.rs
+++ b/src/relay/belief/cluster.rs
@@ -1,7 +1,8 @@
-//! What a host believes of the configuration, the backend servers and the other hosts.
+//! The cluster state known to a host: the configuration, the backend servers and the other hosts.
 //!
-//! A plain state machine: what the store or another host said goes in, what is in force comes out. A
-//! newer version is never replaced by an older one, also where the store was restored from a copy that has the older.
+//! A state machine without I/O: data read from the store or received from another host goes in, the state in force
+//! comes out. A newer version is never replaced by an older one, even if the store was restored from a backup that
+//! contains the older one.
 
 use {
     super::{backend_list::BackendList, history::KindNews, host_list::HostList},
@@ -17,71 +18,71 @@
     std::{rc::Rc, time::Duration},
 };
 
-/// How long after an outage of the store a missing entry may have lapsed for that reason.
-const OUTAGE_TIME: Duration = Duration::from_secs(3);
+/// How long after the end of a store outage a missing entry is assumed to have expired because of the outage.
+const OUTAGE_WINDOW: Duration = Duration::from_secs(3);
 
-/// Heartbeats of a backend server that pass, at the least, from the start of an outage of the store until the
-/// server's entry lapses: it does so after three of silence, and the last one may just have been due. What
-/// is removed after a shorter time without the store left by itself.
-const HEARTBEATS_TO_LAPSE: u32 = 2;
+/// Minimum number of heartbeat intervals between the start of a store outage and the expiry of a backend server's
+/// entry. An entry expires after three intervals without a heartbeat, and a heartbeat may have been due just as the
+/// outage began. A server whose entry is removed after a shorter outage has left on its own.
+const HEARTBEATS_TO_EXPIRY: u32 = 2;
 
-/// How often backend servers renew their entries where nothing else is said.
-const HEARTBEAT_USUAL: Duration = Duration::from_secs(1);
+/// Default interval at which backend servers renew their entries.
+const DEFAULT_HEARTBEAT: Duration = Duration::from_secs(1);
 
-/// What a host believes of its surroundings.
+/// The configuration, backend servers and hosts known to a host, and how recent that knowledge is.
 #[derive(Debug)]
 pub struct ClusterState {
     routes: Option<Rc<RouteTable>>,
     backends: BackendList,
     hosts: HostList,
-    // The latest era of the store that was seen, and when it was found restored.
+    // The latest store era observed, and when a restore was last detected.
     era: u32,
-    restored: Option<RestoreMark>,
+    last_restore: Option<StoreRestore>,
     restores: u32,
-    // How long operators and servers have to write again what a restored store lacks.
-    settle_time: Duration,
-    // The shortest time without the store in which entries lapse by themselves.
-    outage_least: Duration,
-    // When the store was back after at least that time, as seen from here or told by another host.
-    outage_ended: Option<Duration>,
-    // Until when the configuration and the list of backend servers are known to be the newest.
+    // How long operators and servers have to rewrite what a restored store lacks.
+    rewrite_time: Duration,
+    // The shortest store outage in which entries can expire for lack of heartbeats.
+    min_outage: Duration,
+    // When the last outage of at least that length ended, as observed by this host or reported by another.
+    last_outage_end: Option<Duration>,
+    // The latest time at which the configuration and the list of backend servers are known to have been up to date.
     config_confirmed: Option<PastTime>,
     backends_confirmed: Option<PastTime>,
-    // When the configuration was surely the newest: a call that was sent then found nothing newer.
+    // The latest time at which the configuration was proved up to date: a request sent then found nothing newer.
     config_proved: Option<PastTime>,
-    // When the list of backend servers was last read from the store, be it one that lagged.
+    // When the list of backend servers was last read from the store, even if from a lagging replica.
     backends_read: Option<Duration>,
-    // The store does not answer this host, or whom it follows.
+    // The store does not respond to this host, or to the host that it follows.
     store_lost: bool,
 }
 
-/// When the store was found restored.
+/// A detected restore of the store.
 #[derive(Debug, Clone, Copy)]
-struct RestoreMark {
-    seen: Duration,
-    // All lists that other hosts follow have been read again.
+struct StoreRestore {
+    detected_at: Duration,
+    // The lists that are shared with other hosts have been read again.
     is_reread: bool,
 }
 
 impl Default for ClusterState {
     fn default() -> Self {
-        Self::new(HEARTBEAT_USUAL)
+        Self::new(DEFAULT_HEARTBEAT)
     }
 }
 
 impl ClusterState {
-    /// One that knows nothing yet; backend servers renew their entries each `heartbeat`.
+    /// An empty state; backend servers renew their entries every `heartbeat`.
     pub fn new(heartbeat: Duration) -> Self {
         Self {
             routes: None,
             backends: BackendList::new(heartbeat),
             hosts: HostList::default(),
             era: 0,
-            restored: None,
+            last_restore: None,
             restores: 0,
-            settle_time: heartbeat,
-            outage_least: heartbeat.saturating_mul(HEARTBEATS_TO_LAPSE),
-            outage_ended: None,
+            rewrite_time: heartbeat,
+            min_outage: heartbeat.saturating_mul(HEARTBEATS_TO_EXPIRY),
+            last_outage_end: None,
             config_confirmed: None,
             backends_confirmed: None,
             config_proved: None,
@@ -90,12 +91,12 @@
         }
     }
 
-    /// Whether the store fails to answer this host, which reads it, or whom this host follows.
+    /// Sets whether the store fails to respond to this host, if it reads the store itself, or to the host it follows.
     pub fn set_store_lost(&mut self, is_lost: bool) {
         self.store_lost = is_lost;
     }
 
-    /// The same.
+    /// Whether the store fails to respond, as last set by [`Self::set_store_lost`].
     pub fn is_store_lost(&self) -> bool {
         self.store_lost
     }
@@ -105,39 +106,40 @@
         self.routes.clone()
     }
 
-    /// Version of the configuration in force; 0 when there is none.
+    /// Version of the configuration in force; 0 if there is none.
     pub fn config_version(&self) -> u64 {
         self.routes
             .as_ref()
             .map_or(0, |routes| routes.config().version)
     }
 
-    /// The store's position that the list of backend servers shows.
+    /// The store position that the list of backend servers reflects.
     pub fn backends_position(&self) -> StorePosition {
         self.backends.position()
     }
 
-    /// Counts the lists and changes of backend servers that were taken.
+    /// Number of lists and batches of changes of backend servers that were applied.
     pub fn changes_seen(&self) -> u64 {
         self.backends.recorded()
     }
 
-    /// The store's position that the list of hosts shows.
+    /// The store position that the list of hosts reflects.
     pub fn hosts_position(&self) -> StorePosition {
         self.hosts.position()
     }
 
-    /// The latest era of the store that was seen.
+    /// The latest store era observed.
     pub fn era(&self) -> u32 {
         self.era
     }
 
-    /// How often the store was found restored since the host's start.
+    /// Number of store restores detected since the host started.
     pub fn restores(&self) -> u32 {
         self.restores
     }
 
-    /// The store, or another host, named an era; gives the one before where the store was restored since.
+    /// Records an era reported by the store or another host. Returns the previous era if the new one shows that the
+    /// store was restored.
     pub fn note_era(&mut self, era: u32, now: Duration) -> Option<u32> {
         if era <= self.era {
             return None;
@@ -148,41 +150,41 @@
             return None;
         }
         self.restores += 1;
-        self.restored = Some(RestoreMark {
-            seen: now,
+        self.last_restore = Some(StoreRestore {
+            detected_at: now,
             is_reread: false,
         });
         Some(before)
     }
 
-    /// Whether all lists have been read again since the store was restored; true once.
+    /// Whether all lists have been read again since the last restore; returns true once per restore.
     pub fn take_reread(&mut self) -> bool {
         let era = self.era;
         let is_read = self.backends_position().era == era && self.hosts_position().era == era;
-        match &mut self.restored {
-            Some(mark) if is_read && !mark.is_reread => {
-                mark.is_reread = true;
+        match &mut self.last_restore {
+            Some(restore) if is_read && !restore.is_reread => {
+                restore.is_reread = true;
                 true
             }
             _ => false,
         }
     }
 
-    // Whether a reading at this time shows all that was accepted: what a restored store has lost has to be written again.
-    fn is_settled(&self, at: PastTime) -> bool {
-        let settled = |mark: RestoreMark| {
-            let settled = mark.seen.saturating_add(self.settle_time);
-            at >= PastTime::at(settled)
+    // Whether a read at this time returns all accepted writes: what a restored store has lost must first be rewritten.
+    fn is_rewritten(&self, at: PastTime) -> bool {
+        let is_rewritten = |restore: StoreRestore| {
+            let rewritten = restore.detected_at.saturating_add(self.rewrite_time);
+            at >= PastTime::at(rewritten)
         };
-        self.restored.is_none_or(settled)
+        self.last_restore.is_none_or(is_rewritten)
     }
 
-    /// What is known of a kind was the newest at this time of the host's clock.
+    /// Records that the state known of a kind was up to date at this time of the host's clock.
     pub fn confirm(&mut self, kind: StoreKind, at: Duration) {
         self.confirm_as(kind, PastTime::at(at));
     }
 
-    /// What is known of a kind was the newest then, be it before the host's start.
+    /// Records that the state known of a kind was up to date at this time, which may precede the host's start.
     pub fn confirm_as(&mut self, kind: StoreKind, at: PastTime) {
         let confirmed = match kind {
             StoreKind::Config => &mut self.config_confirmed,
@@ -196,36 +198,37 @@
         *confirmed = Some(confirmed.map_or(at, |before| before.max(at)));
     }
 
-    /// The configuration was surely the newest at this time, be it before the host's start: the store was read, or
-    /// another host says so.
+    /// Records that the configuration was proved up to date at this time, which may precede the host's start: it was
+    /// read from the store, or another host reports so. A read from a restored store proves nothing until lost writes
+    /// have had time to be repeated.
     pub fn prove_config(&mut self, at: PastTime) {
-        if self.is_before_restore(at) || self.is_settled(at) {
+        if self.is_before_restore(at) || self.is_rewritten(at) {
             self.config_proved = self.config_proved.max(Some(at));
         }
     }
 
     fn is_before_restore(&self, at: PastTime) -> bool {
-        let restored = self.restored.as_ref();
-        restored.is_some_and(|mark| at < PastTime::at(mark.seen))
+        let restore = self.last_restore.as_ref();
+        restore.is_some_and(|restore| at < PastTime::at(restore.detected_at))
     }
 
-    /// How long ago the configuration was surely the newest; none where that was never so.
+    /// How long ago the configuration was last proved up to date; none if it never was.
     pub fn proof_age(&self, now: Duration) -> Option<Duration> {
         Some(self.config_proved?.age(now))
     }
 
-    /// Until when the older of configuration and backend servers is known to be the newest; none before both are
-    /// known.
+    /// The latest time at which both the configuration and the backend servers are known to have been up to date;
+    /// none until both are known.
     pub fn confirmed(&self) -> Option<PastTime> {
         Some(self.config_confirmed?.min(self.backends_confirmed?))
     }
 
-    /// How old the older of configuration and backend servers may be; none before both are known.
+    /// Maximum age of the configuration and the backend servers, whichever is older; none until both are known.
     pub fn age(&self, now: Duration) -> Option<Duration> {
         Some(self.confirmed()?.age(now))
     }
 
-    /// Takes a configuration if it is newer than the one in force.
+    /// Puts a configuration in force if it is newer than the current one, and returns whether it was.
     pub fn offer_config(&mut self, config: RelayConfig) -> bool {
         let before = self.config_version();
         if config.version <= before {
@@ -239,36 +242,36 @@
         true
     }
 
-    /// The list of backend servers was read from the store, be it one that lags: what is gone at the next reading went
-    /// since then.
+    /// Records that the list of backend servers was read from the store, even if from a lagging replica: entries
+    /// missing from the next read were removed after this one.
     pub fn note_backends_read(&mut self, now: Duration) {
         self.backends_read = Some(now);
     }
 
-    /// Another host found the store back after an outage at this time.
+    /// Records that a store outage ended at this time.
     pub fn note_outage(&mut self, ended: Duration) {
-        self.outage_ended = self.outage_ended.max(Some(ended));
+        self.last_outage_end = self.last_outage_end.max(Some(ended));
     }
 
-    /// How long ago the store was back after an outage, if there was one.
+    /// How long ago the last store outage ended, if there was one.
     pub fn outage_age(&self, now: Duration) -> Option<Duration> {
-        self.outage_ended.map(|ended| now.saturating_sub(ended))
+        self.last_outage_end.map(|ended| now.saturating_sub(ended))
     }
 
-    // A list that nobody could renew for so long ends an outage.
-    fn look_for_outage(&mut self, now: Duration) {
+    // A list that arrives after nobody could refresh it for the minimum outage time marks the end of an outage.
+    fn detect_outage(&mut self, now: Duration) {
         let read = self.backends_read.map(PastTime::at);
         let known = self.backends_confirmed.max(read);
-        if known.is_some_and(|at| at.age(now) >= self.outage_least) {
+        if known.is_some_and(|at| at.age(now) >= self.min_outage) {
             self.note_outage(now);
         }
     }
 
     fn had_outage(&self, now: Duration) -> bool {
-        self.outage_age(now).is_some_and(|age| age < OUTAGE_TIME)
+        self.outage_age(now).is_some_and(|age| age < OUTAGE_WINDOW)
     }
 
-    /// Takes the whole list of backend servers as of a position, unless a newer one is known.
+    /// Replaces the list of backend servers by that of a position, unless a newer one is known.
     pub fn set_backends(
         &mut self,
         list: Vec<BackendInfo>,
@@ -278,12 +281,12 @@
         if position < self.backends_position() {
             return false;
         }
-        self.look_for_outage(now);
+        self.detect_outage(now);
         let had_outage = self.had_outage(now);
         self.backends.set(list, &[], position, had_outage, now)
     }
 
-    /// The list of a kind that was just taken may lag.
+    /// Marks the list of a kind that was just set as read from a replica that may lag.
     pub fn doubt(&mut self, kind: StoreKind) {
         match kind {
             StoreKind::Backends => self.backends.set_unconfirmed(true),
@@ -292,7 +295,8 @@
         }
     }
 
-    /// The store does not have the position that a kind is known up to, if its list may have lagged.
+    /// Forgets the revision up to which a kind is known, if its list is marked as possibly lagging: the store does not
+    /// have that revision.
     pub fn drop_doubted(&mut self, kind: StoreKind) {
         match kind {
             StoreKind::Backends => self.backends.drop_unconfirmed(),
@@ -301,7 +305,7 @@
         }
     }
 
-    /// Takes changes of backend servers up to a position, unless a newer one is known.
+    /// Applies changes of backend servers up to a position, unless a newer one is known.
     pub fn change_backends(
         &mut self,
         changes: Vec<StoreChange>,
@@ -311,27 +315,27 @@
         if position < self.backends_position() {
             return;
         }
-        self.look_for_outage(now);
+        self.detect_outage(now);
         let had_outage = self.had_outage(now);
         self.backends.change(changes, position, had_outage, now);
     }
 
-    /// Takes what another host told of the backend servers.
+    /// Applies an update of the backend servers received from another host.
     pub fn take_backend_news(&mut self, news: KindNews, now: Duration) {
         if news.position < self.backends_position() {
             return;
         }
-        self.look_for_outage(now);
+        self.detect_outage(now);
         let had_outage = self.had_outage(now);
         self.backends.take_news(news, had_outage, now);
     }
 
-    /// What another host lacks of the backend servers that knows them up to `held`.
+    /// The update of the backend servers for another host that knows them up to `held`.
     pub fn backend_news(&self, held: StorePosition) -> KindNews {
         self.backends.news(held)
     }
 
-    /// Evicts what was kept for a time that is over; gives whether other backend servers may be used than before.
+    /// Evicts entries whose retention time is over, and returns whether the set of usable backend servers changed.
     pub fn expire(&mut self, now: Duration) -> bool {
         self.hosts.expire(now);
         self.backends.expire(now)
@@ -347,7 +351,7 @@
         self.backends.listed()
     }
 
-    /// Takes the whole list of hosts as of a position, unless a newer one is known.
+    /// Replaces the list of hosts by that of a position, unless a newer one is known.
     pub fn set_hosts(
         &mut self,
         hosts: Vec<HostEntry>,
@@ -357,32 +361,32 @@
         self.hosts.set(hosts, position, now)
     }
 
-    /// Takes changes of hosts up to a position, unless a newer one is known.
+    /// Applies changes of hosts up to a position, unless a newer one is known.
     pub fn change_hosts(&mut self, changes: Vec<StoreChange>, position: StorePosition) {
         self.hosts.change(changes, position);
     }
 
-    /// Takes what another host told of the hosts.
+    /// Applies an update of the hosts received from another host.
     pub fn take_host_news(&mut self, news: KindNews, now: Duration) {
         self.hosts.take_news(news, now);
     }
 
-    /// What another host lacks of the hosts that knows them up to `held`.
+    /// The update of the hosts for another host that knows them up to `held`.
     pub fn host_news(&self, held: StorePosition) -> KindNews {
         self.hosts.news(held)
     }
 
-    /// The hosts that are known.
+    /// The known hosts.
     pub fn hosts(&self) -> impl Iterator<Item = &HostEntry> + Clone {
         self.hosts.entries()
     }
 
-    /// Whether the store lists a host with this entry.
+    /// Whether the store lists exactly this entry of a host.
     pub fn is_host_listed(&self, entry: &HostEntry) -> bool {
         self.hosts.is_listed(entry)
     }
 
-    /// Hosts that are known, at least this one.
+    /// Number of known hosts; at least 1, for this host.
     pub fn host_count(&self) -> usize {
         self.hosts.count().max(1)
     }
--- a/src/relay/belief/history.rs
+++ b/src/relay/belief/history.rs
@@ -1,4 +1,4 @@
-//! The latest changes of one kind of objects, for hosts that lack only these.
+//! A bounded history of the changes of one kind of objects, for hosts that need only the latest ones.
 
 use {
     crate::{relay::link::StoreChange, store::StorePosition},
@@ -7,67 +7,67 @@
     std::collections::VecDeque,
 };
 
-/// Changes that are remembered at most: some minutes of a busy day, 150 bytes each.
-const CHANGES_KEPT: usize = 512;
+/// Maximum number of changes kept: a few minutes of a busy day, at 150 bytes each.
+const MAX_CHANGES: usize = 512;
 
-/// What a host lacks.
+/// The changes after a position, for a host that knows everything up to it.
 #[derive(Debug, Clone, PartialEq)]
 pub enum MissingNews {
-    /// Nothing.
+    /// There are none.
     Nothing,
-    /// These changes, in order.
+    /// The changes, in order.
     Changes(Vec<StoreChange>),
-    /// More than is remembered: it needs all objects.
+    /// Not all of them are kept: the host needs all objects.
     Whole,
 }
 
-/// What became of one kind of objects.
+/// An update of one kind of objects, sent from one host to another.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct KindNews {
-    /// The store's position up to which this goes.
+    /// The store position up to which the update goes.
     pub position: StorePosition,
-    /// Whether the changes are all objects there are, in place of what the asker has.
+    /// Whether the changes are the complete list of objects and replace what the receiver has.
     pub is_whole: bool,
     /// The changes, in order.
     pub changes: Vec<StoreChange>,
-    /// With all objects, runs of backend servers that have gone or are leaving whatever the objects say.
+    /// In a complete list, the runs of backend servers that have departed or are leaving, whatever the objects say.
     pub departed: Vec<DepartedRun>,
 }
 
-/// A run of a backend server that has gone, or is leaving.
+/// A run of a backend server that has departed or is leaving.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DepartedRun {
     /// The server's id.
     pub id: FastStr,
-    /// When the run began.
+    /// When the run began, Unix milliseconds.
     pub born: u64,
-    /// Whether it has gone.
+    /// Whether it has departed; otherwise it is leaving.
     pub is_gone: bool,
 }
 
-/// The latest changes, each batch with the store's position up to which it goes.
+/// The latest changes in batches, each with the store position up to which it goes.
 #[derive(Debug, Default)]
 pub struct ChangeHistory {
     batches: VecDeque<(StorePosition, Vec<StoreChange>)>,
-    kept: usize,
-    // Changes up to this position are forgotten.
-    forgotten: StorePosition,
+    change_count: usize,
+    // Changes up to this position are no longer kept.
+    evicted_position: StorePosition,
     position: StorePosition,
     recorded: u64,
 }
 
 impl ChangeHistory {
-    /// The store's position up to which everything is known.
+    /// The store position up to which all changes are known.
     pub fn position(&self) -> StorePosition {
         self.position
     }
 
-    /// Counts the lists and batches of changes that were taken.
+    /// Number of lists and batches of changes that were recorded.
     pub fn recorded(&self) -> u64 {
         self.recorded
     }
 
-    /// Takes changes up to a position; older ones than are known are ignored.
+    /// Records changes up to a position; those up to an older position than the current one are ignored.
     pub fn record(&mut self, position: StorePosition, changes: Vec<StoreChange>) {
         if position < self.position {
             return;
@@ -77,46 +77,49 @@
             return;
         }
         self.recorded += 1;
-        self.kept += changes.len();
+        self.change_count += changes.len();
         self.batches.push_back((position, changes));
-        while self.kept > CHANGES_KEPT {
+        while self.change_count > MAX_CHANGES {
             let Some((position, oldest)) = self.batches.pop_front() else {
                 return;
             };
-            self.kept -= oldest.len();
-            self.forgotten = position;
+            self.change_count -= oldest.len();
+            self.evicted_position = position;
         }
     }
 
-    /// The whole list was taken as of a position: what came and went before is not known, so hosts that
-    /// follow need the whole too.
+    /// Starts a new history from a complete list as of a position. The changes before it are unknown, so hosts that
+    /// follow this one need the complete list too.
     pub fn restart(&mut self, position: StorePosition) {
         assert!(
             position >= self.position,
-            "a list of {position} was taken at {}",
+            "a list at {position} cannot replace one at {}",
             self.position
         );
         self.recorded += 1;
         self.batches.clear();
-        self.kept = 0;
-        (self.forgotten, self.position) = (position, position);
+        self.change_count = 0;
+        (self.evicted_position, self.position) = (position, position);
     }
 
-    /// The position turned out to be none that the store has; any list of the era is newer.
+    /// Forgets a revision that the store turned out not to have, so that any list of the same era counts as newer.
     pub fn forget_revision(&mut self) {
         self.batches.clear();
-        self.kept = 0;
+        self.change_count = 0;
         self.position.revision = 0;
-        self.forgotten = self.position;
+        self.evicted_position = self.position;
     }
 
-    /// What a host lacks that knows everything up to `held`.
+    /// The changes for a host that knows everything up to `held`.
     pub fn since(&self, held: StorePosition) -> MissingNews {
-        let last = self.batches.back().map_or(self.forgotten, |batch| batch.0);
+        let last = self
+            .batches
+            .back()
+            .map_or(self.evicted_position, |batch| batch.0);
         if held >= last {
             return MissingNews::Nothing;
         }
-        if held < self.forgotten {
+        if held < self.evicted_position {
             return MissingNews::Whole;
         }
         let missing = self.batches.iter().filter(|batch| batch.0 > held);
--- a/src/relay/belief/host_list.rs
+++ b/src/relay/belief/host_list.rs
@@ -1,4 +1,4 @@
-//! The hosts that the store lists, and those that a restored store does not list yet.
+//! The hosts listed in the store, and those that a restored store does not list yet.
 
 use {
     super::history::{ChangeHistory, KindNews, MissingNews},
@@ -10,62 +10,62 @@
     std::{collections::BTreeMap, mem, time::Duration},
 };
 
-/// How long hosts have to enter themselves again after a restore: hundreds of them do not all write at once.
-const RELIST_TIME: Duration = Duration::from_secs(30);
+/// How long hosts have to rewrite their entries after a restore; hundreds of hosts do not all write at once.
+const REWRITE_TIMEOUT: Duration = Duration::from_secs(30);
 
-// What a restored store shows of a host of which more is known; nothing where it does not list it.
+// The outdated entry of a host in a restored store; none if the store does not list the host.
 #[derive(Debug)]
 struct RestoredEntry {
     shown: Option<HostEntry>,
-    until: Duration,
+    expires_at: Duration,
 }
 
-/// The hosts that the store lists.
+/// The hosts listed in the store, with corrections after a restore of the store.
 #[derive(Debug, Default)]
 pub struct HostList {
     known: BTreeMap<FastStr, HostEntry>,
-    // Hosts that have not entered themselves again since the store was restored.
-    awaited: BTreeMap<FastStr, RestoredEntry>,
+    // Hosts that have not rewritten their entries since the store was restored.
+    awaiting_rewrite: BTreeMap<FastStr, RestoredEntry>,
     history: ChangeHistory,
-    // The list may lag and no watch has gone on from it yet.
+    // The list may have been read from a lagging replica, and no watch has continued from it yet.
     is_unconfirmed: bool,
 }
 
 impl HostList {
-    /// The store's position that the list shows.
+    /// The store position that the list reflects.
     pub fn position(&self) -> StorePosition {
         self.history.position()
     }
 
-    /// The hosts that are known.
+    /// The known hosts.
     pub fn entries(&self) -> impl Iterator<Item = &HostEntry> + Clone {
         self.known.values()
     }
 
-    /// How many hosts are known.
+    /// Number of known hosts.
     pub fn count(&self) -> usize {
         self.known.len()
     }
 
-    /// Whether the store lists a host with this entry.
+    /// Whether the store lists exactly this entry of a host.
     pub fn is_listed(&self, entry: &HostEntry) -> bool {
-        let is_awaited = self.awaited.contains_key(&entry.name);
-        !is_awaited && self.known.get(&entry.name) == Some(entry)
+        let is_awaiting_rewrite = self.awaiting_rewrite.contains_key(&entry.name);
+        !is_awaiting_rewrite && self.known.get(&entry.name) == Some(entry)
     }
 
-    /// The list was read from a store that may lag.
+    /// Sets whether the list may have been read from a lagging replica.
     pub fn set_unconfirmed(&mut self, is_unconfirmed: bool) {
         self.is_unconfirmed = is_unconfirmed;
     }
 
-    /// The store does not have the position of an unconfirmed list.
+    /// Forgets the revision of an unconfirmed list, which the store does not have.
     pub fn drop_unconfirmed(&mut self) {
         if mem::take(&mut self.is_unconfirmed) {
             self.history.forget_revision();
         }
     }
 
-    /// Takes the whole list as of a position, unless a newer one is known.
+    /// Replaces the list by that of a position, unless a newer one is known.
     pub fn set(&mut self, list: Vec<HostEntry>, position: StorePosition, now: Duration) -> bool {
         let held = self.position();
         if position < held {
@@ -74,44 +74,44 @@
         let named = list.into_iter().map(|entry| (entry.name.clone(), entry));
         let shown: BTreeMap<FastStr, HostEntry> = named.collect();
         match position.era > held.era && !self.known.is_empty() {
-            true => self.take_restored(shown, now),
-            false => self.take_listed(shown),
+            true => self.apply_restored(shown, now),
+            false => self.apply_listed(shown),
         }
         self.history.restart(position);
         true
     }
 
-    // What is known is newer than the copy, until each host has entered itself again.
-    fn take_restored(&mut self, mut shown: BTreeMap<FastStr, HostEntry>, now: Duration) {
-        let until = now + RELIST_TIME;
+    // Keeps the known entries, which are newer than the backup, until each host has rewritten its own.
+    fn apply_restored(&mut self, mut shown: BTreeMap<FastStr, HostEntry>, now: Duration) {
+        let expires_at = now + REWRITE_TIMEOUT;
         for (name, entry) in &self.known {
             let shown = shown.remove(name);
             match shown.as_ref() == Some(entry) {
                 true => {
-                    self.awaited.remove(name);
+                    self.awaiting_rewrite.remove(name);
                 }
                 false => {
-                    let restored = RestoredEntry { shown, until };
-                    self.awaited.insert(name.clone(), restored);
+                    let restored = RestoredEntry { shown, expires_at };
+                    self.awaiting_rewrite.insert(name.clone(), restored);
                 }
             }
         }
         self.known.append(&mut shown);
     }
 
-    // A host that is still awaited, and whose entry stands as it did, has not entered itself again.
-    fn take_listed(&mut self, shown: BTreeMap<FastStr, HostEntry>) {
+    // A host whose entry is still the same as after the restore has not rewritten it.
+    fn apply_listed(&mut self, shown: BTreeMap<FastStr, HostEntry>) {
         let known = &mut self.known;
-        self.awaited
+        self.awaiting_rewrite
             .retain(|name, restored| restored.shown.as_ref() == shown.get(name));
-        known.retain(|name, _| self.awaited.contains_key(name));
+        known.retain(|name, _| self.awaiting_rewrite.contains_key(name));
         for (name, entry) in shown {
             known.entry(name).or_insert(entry);
         }
     }
 
-    /// Takes changes up to a position, unless a newer one is known. Changes of another era go on from a list that this
-    /// host does not have.
+    /// Applies changes up to a position, unless a newer one is known. Changes of another era are ignored, as they
+    /// continue from a list that this host does not have.
     pub fn change(&mut self, changes: Vec<StoreChange>, position: StorePosition) {
         let held = self.position();
         if position < held || (held.is_known() && position.era != held.era) {
@@ -123,12 +123,12 @@
                     value: StoreValue::Host(entry),
                     ..
                 }) => {
-                    self.awaited.remove(&entry.name);
+                    self.awaiting_rewrite.remove(&entry.name);
                     self.known.insert(entry.name.clone(), entry.clone());
                 }
                 StoreChange::Set(_) => {}
                 StoreChange::Removed(name) => {
-                    self.awaited.remove(name);
+                    self.awaiting_rewrite.remove(name);
                     self.known.remove(name);
                 }
             }
@@ -136,7 +136,7 @@
         self.history.record(position, changes);
     }
 
-    /// Takes what another host told.
+    /// Applies an update received from another host.
     pub fn take_news(&mut self, news: KindNews, now: Duration) {
         match news.is_whole {
             true => {
@@ -147,7 +147,7 @@
         }
     }
 
-    /// What another host lacks that knows everything up to `held`.
+    /// The update for another host that knows everything up to `held`.
     pub fn news(&self, held: StorePosition) -> KindNews {
         let missing = self.history.since(held);
         KindNews {
@@ -162,19 +162,21 @@
         }
     }
 
-    // As the store has them: whoever it does not list has to see that.
+    // The entries as the store has them: a host that the store does not list has to learn that.
     fn shown(&self) -> impl Iterator<Item = &HostEntry> {
         self.known
             .iter()
-            .filter_map(|(name, entry)| match self.awaited.get(name) {
+            .filter_map(|(name, entry)| match self.awaiting_rewrite.get(name) {
                 Some(restored) => restored.shown.as_ref(),
                 None => Some(entry),
             })
     }
 
-    /// Hosts that have not entered themselves again in time are as the store shows them.
+    /// Falls back to the store's entry for hosts that have not rewritten theirs in time.
     pub fn expire(&mut self, now: Duration) {
-        let expired = self.awaited.extract_if(.., |_, entry| now >= entry.until);
+        let expired = self
+            .awaiting_rewrite
+            .extract_if(.., |_, entry| now >= entry.expires_at);
         for (name, restored) in expired {
             match restored.shown {
                 Some(entry) => self.known.insert(name, entry),
--- a/src/relay/belief/mod.rs
+++ b/src/relay/belief/mod.rs
@@ -1,5 +1,5 @@
-//! What a host believes of the configuration, the backend servers and the other hosts, and the changes that
-//! others lack. Plain state: who hears it from whom is a matter of `news`.
+//! What a host knows of the configuration, the backend servers and the other hosts, and the changes that other
+//! hosts lack. Plain state: how hosts exchange it is implemented in `news`.
 
 mod backend_list;
 pub(crate) mod cluster;
