--- a/src/relay/backend.rs
+++ b/src/relay/backend.rs
@@ -1,4 +1,4 @@
-//! Backend servers as the store lists them.
+//! Backend servers as listed in the store.
 
 use {
     super::policy::{availability::ServerRun, loads::EngineKey},
@@ -11,30 +11,30 @@
 /// One run of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendInfo {
-    /// Its id. A run that begins later may have the same one, also at the same address.
+    /// The server's id. A later run may have the same id, even at the same address.
     pub id: FastStr,
-    /// When this run began, Unix milliseconds; 0 where that is not known. Of two runs with one id the later has the
-    /// larger.
+    /// When this run began, Unix milliseconds; 0 if unknown. Of two runs with the same id the later one has the larger
+    /// value.
     #[serde(default)]
     pub born: u64,
-    /// The service that it belongs to.
+    /// The service that the server belongs to.
     pub service: FastStr,
-    /// Where it listens.
+    /// The address that the server listens on.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// The server's availability zone.
     pub zone: FastStr,
-    /// It takes no new work.
+    /// Whether the server is leaving and accepts no new requests.
     pub leaving: bool,
-    /// Requests that it works on at once.
+    /// Number of requests that the server processes concurrently.
     pub slots: u32,
-    /// What it does, if it is an engine.
+    /// The engine's role; none if the server is not an engine.
     pub role: Option<EngineRole>,
-    /// Orders that it has taken; an order may name the count it expects.
+    /// Number of role orders that the engine has accepted; an order may be conditional on this count.
     pub orders_taken: u64,
 }
 
 impl BackendInfo {
-    /// The run, told from all others.
+    /// The identity of the run, distinct from that of any other.
     pub fn run(&self) -> ServerRun {
         ServerRun {
             id: self.id.clone(),
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The run as hosts name it to each other.
+    /// The identity of the run in messages between hosts.
     pub fn key(&self) -> EngineKey {
         EngineKey::of_run(&self.id, self.born)
     }
--- a/src/relay/config.rs
+++ b/src/relay/config.rs
@@ -1,4 +1,4 @@
-//! What operators configure for requests that are passed through: routes, services, limits.
+//! The operators' configuration for relayed requests: routes, services, limits.
 
 use {
     crate::account::ClientAccount,
@@ -7,54 +7,54 @@
     std::time::Duration,
 };
 
-/// One version of the configuration, whole.
+/// One complete version of the configuration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RelayConfig {
-    /// Its version; only grows.
+    /// The version, which only increases.
     pub version: u64,
-    /// Which requests go where.
+    /// The routes, which map requests to services.
     pub routes: Vec<RelayRoute>,
     /// The services that routes lead to.
     pub services: Vec<RelayService>,
-    /// What callers may send.
+    /// Limits on callers' requests and connections.
     pub limits: CallerLimits,
-    /// The client accounts; none where requests need no key. Where there is a list, a request on a route that is
-    /// not public needs a key of one of them, also where the list is empty.
+    /// The client accounts; none if requests need no key. If there is a list, even an empty one, a request on a route
+    /// that is not public needs a key of one of these accounts.
     #[serde(default)]
     pub accounts: Option<Vec<ClientAccount>>,
 }
 
 impl RelayConfig {
-    /// A service by its name.
+    /// Finds a service by name.
     pub fn service(&self, name: &str) -> Option<&RelayService> {
         self.services.iter().find(|service| service.name == name)
     }
 }
 
-/// Which requests go to which services, and within what bounds.
+/// Maps requests to services, and sets their time limits, attempts and priority.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RelayRoute {
-    /// Its name, for logs and metrics.
+    /// The route's name, for logs and metrics.
     pub name: FastStr,
-    /// The `Host` that requests name, in lower case and without a port.
+    /// The `Host` header of matching requests, in lower case and without a port.
     pub host: FastStr,
-    /// What their paths begin with; ends with a slash.
+    /// The path prefix of matching requests; ends with a slash.
     pub path_prefix: FastStr,
-    /// Whether they may run more than once, and how they are answered.
+    /// Whether requests may run more than once, and how they are answered.
     pub kind: RequestKind,
-    /// Longest time that a request may be held.
+    /// Maximum total time for a request.
     pub time_limit: Duration,
-    /// Time within which an answer, or its first event, is in time.
+    /// Latency target for the response, or for the first event of a stream.
     pub latency_target: Duration,
-    /// Longest pause between two events of a stream that is in time.
+    /// Target for the longest pause between two events of a stream.
     pub event_gap_target: Option<Duration>,
-    /// Backend servers that one request may be sent to at most.
+    /// Maximum number of backend servers that a request may be sent to.
     pub attempts: u32,
-    /// 0 is the most urgent.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// The services, with their shares of the requests.
+    /// The target services with their shares of the requests.
     pub shares: Vec<ServiceShare>,
-    /// Its requests need no key.
+    /// Whether requests need no key.
     #[serde(default)]
     pub is_public: bool,
 }
@@ -69,17 +69,17 @@
     Once,
     /// Answered by a stream of events; runs at most once.
     Stream,
-    /// Answered by a stream of events that another backend server may continue.
+    /// Answered by a stream of events that another backend server can resume.
     ResumableStream,
 }
 
 impl RequestKind {
-    /// Whether the answer is a stream of events.
+    /// Whether the response is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::ResumableStream)
     }
 
-    /// Whether a request that may have run may be sent again as it is.
+    /// Whether a request that may already have run can be sent again unchanged.
     pub fn is_repeatable(self) -> bool {
         self == Self::Repeatable
     }
@@ -90,46 +90,46 @@
 pub struct ServiceShare {
     /// The service.
     pub service: FastStr,
-    /// Its weight against the other shares.
+    /// The weight relative to the other shares.
     pub weight: u32,
 }
 
-/// A service behind routes.
+/// A service that routes lead to.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RelayService {
-    /// Its name.
+    /// The service's name.
     pub name: FastStr,
-    /// Connections that one of its backend servers accepts from all hosts together, if that is known.
+    /// Maximum number of connections that each of its backend servers accepts from all hosts together, if known.
     pub connection_limit: Option<u32>,
-    /// Set where its backend servers are model engines.
+    /// Properties of its engines; none if its backend servers are not model engines.
     pub engine: Option<EngineLimits>,
 }
 
-/// What all engines of a service have in common.
+/// Properties shared by all engines of a service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EngineLimits {
-    /// Requests that an engine runs at once.
+    /// Number of requests that an engine runs concurrently.
     pub slots: u32,
-    /// Tokens that its memory holds.
+    /// Memory capacity of an engine, in tokens.
     pub memory_tokens: u64,
-    /// How long a prefill's KV cache is kept for a decode engine.
+    /// How long a prefill engine keeps a KV cache for a decode engine.
     pub cache_life: Duration,
-    /// How long an engine takes to change its role, once idle.
+    /// How long an idle engine takes to change its role.
     pub switch_time: Duration,
-    /// Longest time for which memory can be reserved ahead.
+    /// Maximum time for which memory can be reserved in advance.
     pub hold_limit: Duration,
 }
 
-/// What callers may send and how long they may take.
+/// Limits on the size of callers' requests and on the time to send them.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Bytes of a request's headers.
+    /// Maximum size of a request's headers, in bytes.
     pub header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// Time for the headers to arrive.
+    /// Maximum time for the headers to arrive.
     pub header_time: Duration,
-    /// Time for which a connection may be idle.
+    /// Maximum time for which a connection may be idle.
     pub idle_time: Duration,
 }
 
--- a/src/relay/dialect.rs
+++ b/src/relay/dialect.rs
@@ -1,7 +1,7 @@
-//! How backend servers are spoken to: which headers, calls and bodies carry what.
+//! The protocol of a kind of backend servers: the headers, calls and bodies that carry each piece of information.
 //!
-//! The decisions are the same for every kind of backend server; what differs is here, as data and
-//! functions.
+//! Routing decisions are the same for every kind of backend server; everything that differs is defined here, as data
+//! and functions.
 
 use {
     super::policy::{
@@ -15,56 +15,56 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// What a caller's request says of itself.
+/// The metadata in the headers of a caller's request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct CallMarks {
-    /// The caller's id of the request, unique to each of its tries.
+    /// The caller's request id, different for each of its attempts.
     pub id: FastStr,
-    /// How long the caller will wait.
+    /// How long the caller will wait for the response.
     pub time_left: Option<Duration>,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u64,
-    /// Tokens of the answer at most.
+    /// Maximum number of tokens in the response.
     pub answer_limit: u64,
-    /// The caller's estimate of the answer's tokens.
+    /// The caller's estimate of the number of tokens in the response.
     pub answer_hint: Option<u64>,
-    /// The last event that the caller has.
+    /// Id of the last event that the caller received.
     pub last_event: Option<FastStr>,
-    /// The key that it shows.
+    /// The API key that the request carries.
     pub key: ShownKey,
-    /// Id of the prompt's last part, which is this request's own or its session's: engines name what they
-    /// keep of a prompt by it.
+    /// Id of the prompt's last part, which belongs to this request or to its session. Engines use it as the key of
+    /// what they cache of the prompt.
     pub last_part: Option<FastStr>,
 }
 
-/// What a backend server's answer says of itself.
+/// The metadata in the headers of a backend server's response.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct AnswerMarks {
-    /// Id of the request that it answers.
+    /// Id of the request that is answered.
     pub id: Option<FastStr>,
-    /// The backend server states that the request did not run.
+    /// Whether the backend server states that the request did not run.
     pub not_run: bool,
-    /// What it says of its server.
+    /// The state that the server reports of itself.
     pub server: ServerMarks,
 }
 
 impl AnswerMarks {
-    /// Whether it answers another request than this one.
+    /// Whether the response is for a different request.
     pub fn is_anothers(&self, request: &str) -> bool {
         self.id.as_ref().is_some_and(|id| id != request)
     }
 }
 
-/// The headers in which an answer says something of its server.
+/// Names of the response headers in which a server reports its state.
 #[derive(Debug, Clone)]
 pub struct ServerHeaders {
-    /// Requests a second that it takes from all hosts together.
+    /// Requests per second that the server accepts from all hosts together.
     pub limit: HeaderName,
-    /// That it is leaving.
+    /// Whether the server is leaving.
     pub leaving: HeaderName,
 }
 
-/// What an answer says of its server.
+/// Reads the state that a server reports of itself in a response.
 pub fn read_server_marks(
     status: StatusCode,
     headers: &HeaderMap,
@@ -74,7 +74,7 @@
     ServerMarks {
         limit: LimitMark::read(values(&names.limit)),
         leaving: match status {
-            // That of another run, which has the address now.
+            // Sent by another run that now has the address; its state says nothing about the run that was called.
             StatusCode::MISDIRECTED_REQUEST => LeavingMark::Unsaid,
             _ => LeavingMark::read(values(&names.leaving)),
         },
@@ -85,147 +85,147 @@
     }
 }
 
-/// Whom a request is meant for, and how long it may take.
+/// The intended backend server of a request, and the time left for it.
 #[derive(Debug, Clone, Copy)]
 pub struct CallAddress<'a> {
-    /// The run of the backend server; any other declines.
+    /// The intended run of the backend server; any other run declines the request.
     pub backend: &'a str,
-    /// What is left of the caller's time.
+    /// How long the caller will still wait.
     pub time_left: Duration,
-    /// The client account that the request is for, if it is known.
+    /// The client account of the request, if known.
     pub account: Option<&'a str>,
 }
 
-/// A call of our own to a backend server.
+/// A call to a backend server that this host makes on its own, not on behalf of a caller's request.
 #[derive(Debug, Clone)]
 pub struct BackendCall {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub path: String,
-    /// A JSON body, or nothing.
+    /// JSON body; may be empty.
     pub body: Bytes,
-    /// What it is for.
+    /// Purpose of the connection, for the pool's counters.
     pub purpose: PoolUse,
 }
 
-/// A KV cache that waits at a prefill engine.
+/// A KV cache held at a prefill engine for a decode engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PromptCache {
-    /// What it is called there.
+    /// The engine's handle of the cache.
     pub handle: FastStr,
-    /// Its tokens.
+    /// Number of tokens in the cache.
     pub tokens: u64,
 }
 
-/// How a decode engine is to begin a request.
+/// How a decode engine starts a request.
 #[derive(Debug, Clone, Default)]
 pub struct DecodeStart {
-    /// Where the KV cache waits: the prefill engine's address and the cache's name.
+    /// Source of the KV cache: the prefill engine's address and the cache's handle.
     pub source: Option<(SocketAddr, FastStr)>,
-    /// Memory reserved for the request.
+    /// Handle of the memory reservation for the request.
     pub hold: Option<FastStr>,
-    /// The last event that the caller has.
+    /// Id of the last event that the caller received; the stream resumes after it.
     pub after_event: Option<FastStr>,
 }
 
-/// A change in what an engine keeps of prompts that it read.
+/// A change in an engine's prompt cache.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CacheChange {
-    /// Id of the prompt's part.
+    /// Id of the prompt part.
     pub part: FastStr,
-    /// Tokens of it that are kept now; 0 when it is gone.
+    /// Number of tokens of the part that are now cached; 0 if it was evicted.
     pub tokens: u64,
 }
 
-/// What an engine is to be asked.
+/// What to ask an engine about its prompt cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CacheQuestion {
-    /// All that it keeps, for which it interrupts its work.
+    /// The complete content; the engine interrupts its work to list it.
     Whole,
-    /// What has changed from this change on.
+    /// The changes from this change number on.
     Since(u64),
 }
 
-/// What an engine keeps of prompts that it read: all of it, or what has changed since it was asked last.
+/// The complete content of an engine's prompt cache, or the changes since the last query.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct CacheNews {
-    /// Another one after the engine was started anew.
+    /// Differs after a restart of the engine.
     pub epoch: u64,
-    /// The change to ask for next.
+    /// The change number to query from next.
     pub next: u64,
-    /// Whether this is all that the engine keeps.
+    /// Whether the changes are the complete content of the cache.
     pub is_whole: bool,
-    /// The changes, the oldest first.
+    /// The changes, oldest first.
     pub changes: Vec<CacheChange>,
 }
 
-/// A fenced order to an engine to take another role.
+/// An order to an engine to change its role, protected by a fencing token.
 #[derive(Debug, Clone)]
 pub struct RoleOrder {
-    /// The role to take.
+    /// The new role.
     pub role: EngineRole,
-    /// The host that gives the order.
+    /// The lease holder, which gives the order.
     pub holder: FastStr,
     /// The lease's fencing token.
     pub token: u64,
-    /// The order is void if the engine has taken another number of orders.
+    /// Expected number of orders that the engine has accepted; the order is void if the count differs.
     pub orders_taken: u64,
 }
 
-/// What an engine says of itself; some hundred milliseconds old.
+/// An engine's report of its state; a few hundred milliseconds old.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineReport {
-    /// What it does.
+    /// The current role.
     pub role: Option<EngineRole>,
-    /// It is carrying out an order.
+    /// Whether the engine is carrying out an order.
     pub is_busy: bool,
-    /// Orders that it has taken since its start.
+    /// Number of orders accepted since the engine started.
     pub orders_taken: u64,
 }
 
-/// How backend servers of any kind are spoken to.
+/// The functions that implement the protocol of a kind of backend servers.
 #[derive(Debug, Clone, Copy)]
 pub struct CallDialect {
-    /// Reads what a caller's request says of itself.
+    /// Reads the metadata of a caller's request.
     pub read_call: fn(&HeaderMap) -> CallMarks,
-    /// Removes headers that only this host may set.
+    /// Removes headers that only a host may set from a caller's request.
     pub strip_call: fn(&mut HeaderMap),
-    /// Names the backend server, the client account and the time that is left.
+    /// Sets the headers for the intended backend server, the client account and the time left.
     pub address_call: fn(&mut HeaderMap, CallAddress<'_>),
-    /// Names the run of the backend server that a call of our own is meant for.
+    /// Sets the header for the intended run of the backend server, on a call that the host makes on its own.
     pub name_backend: fn(&mut HeaderMap, &str),
-    /// Reads what an answer says of itself.
+    /// Reads the metadata of a response.
     pub read_answer: fn(StatusCode, &HeaderMap) -> AnswerMarks,
-    /// What engines are told besides.
+    /// The additional functions for model engines.
     pub engines: EngineDialect,
 }
 
-/// How model engines are spoken to.
+/// The functions that implement the protocol of model engines.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineDialect {
-    /// Makes a request one for the prefill alone.
+    /// Turns a request into a prefill-only request.
     pub as_prefill: fn(&mut HeaderMap),
-    /// Reads the answer to a prefill.
+    /// Reads the response to a prefill.
     pub read_prefill: fn(&[u8]) -> Option<PromptCache>,
-    /// Makes a request one for the decode.
+    /// Turns a request into a decode request.
     pub as_decode: fn(&mut HeaderMap, &DecodeStart),
-    /// Reserves memory for a time.
+    /// Makes a call that reserves memory for a number of tokens, for a time.
     pub hold: fn(u64, Duration) -> BackendCall,
-    /// Reads what a reservation is called.
+    /// Reads the handle of a reservation.
     pub read_hold: fn(&[u8]) -> Option<FastStr>,
-    /// Gives a reservation back.
+    /// Makes a call that releases a reservation.
     pub drop_hold: fn(&str) -> BackendCall,
-    /// Frees a KV cache that waits.
+    /// Makes a call that frees a held KV cache.
     pub free_cache: fn(&str) -> BackendCall,
-    /// Asks an engine what it keeps of prompts, or what has changed in that.
+    /// Makes a call that queries an engine's prompt cache.
     pub ask_cache: fn(CacheQuestion) -> BackendCall,
-    /// Reads the answer to that question; none where it is of no use, such as one with a gap.
+    /// Reads the response to that query; none if it is unusable, such as one with a gap in the changes.
     pub read_cache: fn(CacheQuestion, &[u8]) -> Option<CacheNews>,
-    /// Asks an engine what it does.
+    /// Makes a call that asks an engine for its report.
     pub report: fn() -> BackendCall,
-    /// Reads the answer to that.
+    /// Reads an engine's report.
     pub read_report: fn(&[u8]) -> Option<EngineReport>,
-    /// Gives an order.
+    /// Makes a call that gives a role order.
     pub order: fn(&RoleOrder) -> BackendCall,
 }
