--- a/src/relay/figures.rs
+++ b/src/relay/figures.rs
@@ -1,5 +1,5 @@
-//! A line of the host's figures in the log, at a steady pace: logs of hundreds of hosts then tell who talked to whom
-//! and how often, without a line for each call.
+//! Logs the host's counters periodically, so that the logs of hundreds of hosts show who called whom and how often
+//! without a line for each call.
 
 use {
     super::parts::{metric_labels::StoreCause, shared::RelayParts},
@@ -7,19 +7,20 @@
     std::{rc::Rc, time::Duration},
 };
 
-/// How often the figures are logged. One line of 200 bytes in that time is a hundredth of what a host logs of its
-/// requests; what is counted after the last line of a host that loses its power is not seen.
-const FIGURES_PERIOD: Duration = Duration::from_secs(5);
+/// Interval between log lines. One line of 200 bytes per interval is a hundredth of what a host logs about its
+/// requests; counts after the last line of a host that loses power are lost.
+const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Logs the figures for as long as the host runs; all are sums since its start, but for the two ages.
+/// Logs the counters for as long as the host runs. All are totals since its start, except the two ages and the store
+/// position.
 pub async fn log_figures(parts: Rc<RelayParts>) {
     loop {
-        tokio::time::sleep(FIGURES_PERIOD).await;
+        tokio::time::sleep(LOG_INTERVAL).await;
         log_once(&parts);
     }
 }
 
-/// Logs the figures as they are now.
+/// Logs the current values of the counters.
 pub fn log_once(parts: &RelayParts) {
     let metrics = &parts.metrics;
     let age = parts.cluster.borrow().age(parts.now());
--- a/src/relay/host.rs
+++ b/src/relay/host.rs
@@ -1,4 +1,4 @@
-//! A relaying host, started and stopped.
+//! Startup and shutdown of a host that relays requests.
 
 use {
     super::{
@@ -41,39 +41,39 @@
     tokio::net::TcpListener,
 };
 
-/// Time for which a stopping host still lets requests in: the balancer takes it out after two failed
-/// checks, a second apart.
+/// How long a stopping host still accepts requests: the load balancer removes it after two failed checks, a second
+/// apart.
 const BALANCER_LAG: Duration = Duration::from_millis(2_600);
 
-/// Part of the grace of a planned stop that is left for the end of the process.
+/// Part of the stop grace period that is reserved for the exit of the process.
 const STOP_MARGIN: Duration = Duration::from_millis(300);
 
-/// How long connections may take to write out their last bytes.
-const CLOSE_TIME: Duration = Duration::from_millis(150);
+/// How long connections may take to flush their last bytes.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Longest time that bytes sent to a caller may stay unacknowledged.
-const CALLER_SILENCE: Duration = Duration::from_secs(5);
+/// Maximum time for which bytes sent to a caller may stay unacknowledged.
+const CALLER_ACK_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How much longer than operators allow a connection may be idle, or its headers take: what callers sent in
-/// time may arrive a little later.
+/// Added to the configured limits on idle connections and on the time for headers: what a caller sends in time may
+/// arrive a little later.
 const IDLE_MARGIN: Duration = Duration::from_secs(1);
 
-/// Path of the metrics, beside the balancer's question.
+/// Path of the metrics, served next to the load balancer's readiness check.
 const METRICS_PATH: &str = "/metrics";
 
-/// Path of the page of rate-limited backend servers, beside it too.
+/// Path of the list of rate-limited backend servers, served next to the readiness check.
 const LIMITS_PATH: &str = "/servers-limited";
 
-/// Path of the page of backend servers that take no new requests of this host, beside it too.
+/// Path of the list of backend servers that accept no new requests from this host, served next to the readiness check.
 const AVAILABILITY_PATH: &str = "/servers-unavailable";
 
-/// How often it is looked whose backoff is over.
-const AVAILABILITY_PERIOD: Duration = Duration::from_millis(500);
+/// Interval between checks for backend servers whose backoff is over.
+const AVAILABILITY_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// A running host.
 #[derive(Debug)]
 pub struct RelayHost {
-    /// What its tasks share.
+    /// State shared by the host's tasks.
     pub parts: Rc<RelayParts>,
     store: Rc<StoreLink>,
     closing: Arc<OnceSignal>,
@@ -83,17 +83,17 @@
 impl RelayHost {
     /// Opens the sockets and starts all tasks on the current thread.
     ///
-    /// Port 0 takes a free one: the settings in its parts then name the port that was taken.
+    /// Port 0 selects a free port, which the settings in `parts` then contain.
     pub fn start(
         mut settings: RelaySettings,
         dialect: CallDialect,
         store: StoreLink,
         clock: HostClock,
     ) -> eyre::Result<Self> {
-        let callers = open("callers", &mut settings.callers)?;
-        let checks = open("checks", &mut settings.checks)?;
-        let peers = open("peers", &mut settings.peers)?;
-        let metrics = open_metrics(&mut settings);
+        let callers = listen("callers", &mut settings.callers)?;
+        let checks = listen("checks", &mut settings.checks)?;
+        let peers = listen("peers", &mut settings.peers)?;
+        let metrics = listen_for_metrics(&mut settings);
         event::emit(
             &event::HOST_STARTED,
             &[
@@ -107,9 +107,9 @@
         );
         let gate = StopGate::new(settings.requests_limit);
         let parts = RelayParts::new(settings, dialect, gate, clock, store.eras.clone());
-        let noting = parts.clone();
-        let store = store.with_note(Rc::new(move |is_answered| {
-            noting.note_store_call(is_answered)
+        let observing = parts.clone();
+        let store = store.with_observer(Rc::new(move |is_answered| {
+            observing.note_store_call(is_answered)
         }));
         let store = Rc::new(store);
         let host = Self {
@@ -118,10 +118,13 @@
             closing: Arc::default(),
             checks_closing: Arc::default(),
         };
-        host.share_news(peers);
-        vital::spawn_vital("own entry", entry::keep_entry(parts.clone(), store.clone()));
+        host.start_news_exchange(peers);
+        vital::spawn_vital(
+            "host entry",
+            entry::keep_entry(parts.clone(), store.clone()),
+        );
         vital::spawn_vital("figures", figures::log_figures(parts.clone()));
-        vital::spawn_vital("availability", keep_availability(parts.clone()));
+        vital::spawn_vital("availability", check_availability(parts.clone()));
         vital::spawn_vital("engine roles", keeper::keep_roles(parts, store));
         host.serve(callers, host.caller_handler(), host.closing.clone());
         host.serve(checks, host.check_handler(), host.checks_closing.clone());
@@ -131,8 +134,8 @@
         Ok(host)
     }
 
-    // Reads the store or follows other hosts, and answers those that follow this one.
-    fn share_news(&self, listener: TcpListener) {
+    // Starts the tasks that read the store or follow other hosts, and that answer the hosts that follow this one.
+    fn start_news_exchange(&self, listener: TcpListener) {
         let metrics = Arc::new(HostMetrics::default());
         let feed = StoreFeed::start(self.parts.clone(), self.store.clone());
         let clock = self.parts.clock.clone();
@@ -143,22 +146,22 @@
         let findings = FindingShare::start(self.parts.clone(), follower.clone(), links.clone());
         let share = LoadShare::start(self.parts.clone(), follower, links);
         let parts = self.parts.clone();
-        let (charged, settled) = (parts.clone(), parts.clone());
-        let tried = parts.clone();
+        let (charge_parts, sums_parts) = (parts.clone(), parts.clone());
+        let trial_parts = parts.clone();
         let answers = NewsAnswers {
             clock,
             permits: Box::new(move |ask, is_passed_on| {
                 permits.clone().answer(ask, is_passed_on).boxed_local()
             }),
-            charges: Box::new(move |account, units| charged.answer_charge(account, units)),
-            sums: Box::new(move |theirs| settled.answer_sums(&theirs)),
+            charges: Box::new(move |account, units| charge_parts.answer_charge(account, units)),
+            sums: Box::new(move |theirs| sums_parts.answer_sums(&theirs)),
             findings: Box::new(move |told, is_zone| findings.take_told(&told, is_zone)),
-            trials: Box::new(move |digest| tried.grant_trial(digest)),
+            trials: Box::new(move |digest| trial_parts.grant_trial(digest)),
             news: Box::new(move |held| news::tell_news(parts.clone(), held).boxed_local()),
             loads: Box::new(move |reporter, loads, view| share.answer(reporter, loads, view)),
         };
         vital::spawn_vital(
-            "answers to hosts",
+            "host requests",
             news::serve_news(listener, answers, metrics),
         );
     }
@@ -166,11 +169,11 @@
     fn serve(&self, listener: TcpListener, handler: IngressHandler, closing: Arc<OnceSignal>) {
         let limits = Rc::new(IngressLimits {
             header_time: Cell::new(idle_limit(&CallerLimits::default())),
-            silence_limit: CALLER_SILENCE,
+            silence_limit: CALLER_ACK_TIMEOUT,
         });
         let serving = web::serve_callers(listener, handler, limits.clone(), closing);
         vital::spawn_vital("callers", serving);
-        vital::spawn_vital("limits", follow_limits(self.parts.clone(), limits));
+        vital::spawn_vital("limits", apply_limit_changes(self.parts.clone(), limits));
     }
 
     fn caller_handler(&self) -> IngressHandler {
@@ -181,7 +184,7 @@
     fn check_handler(&self) -> IngressHandler {
         let parts = self.parts.clone();
         Rc::new(move |request| {
-            let answer = check(&parts, request.uri().path());
+            let answer = answer_check(&parts, request.uri().path());
             async move { answer }.boxed_local()
         })
     }
@@ -197,7 +200,7 @@
         })
     }
 
-    /// Stops as planned: what is in progress is finished, within the grace of a stop.
+    /// Stops gracefully: requests in progress may finish within the stop grace period.
     pub async fn drain(&self) {
         let gate = &self.parts.gate;
         gate.begin_stop();
@@ -210,16 +213,17 @@
         };
         let in_time = tokio::time::timeout(grace.saturating_sub(STOP_MARGIN), finishing).await;
         if in_time.is_err() {
-            log::warn!("{} requests did not end within the grace", gate.in_flight());
+            let in_flight = gate.in_flight();
+            log::warn!("{in_flight} requests did not finish within the stop grace period");
         }
         self.parts.metrics.store_called(StoreCause::Entry, 1);
-        let leaving = (self.store.delete)(StoreKind::Hosts, &self.parts.settings.name);
+        let deleting = (self.store.delete)(StoreKind::Hosts, &self.parts.settings.name);
         let closing = async {
-            tokio::time::sleep(CLOSE_TIME).await;
+            tokio::time::sleep(CLOSE_TIMEOUT).await;
         };
-        let (left, ()) = tokio::join!(tokio::time::timeout(CLOSE_TIME, leaving), closing);
-        if let Ok(Err(failure)) = left {
-            log::debug!("the host's entry stays: {failure}");
+        let (deleted, ()) = tokio::join!(tokio::time::timeout(CLOSE_TIMEOUT, deleting), closing);
+        if let Ok(Err(failure)) = deleted {
+            log::debug!("failed to delete the host's entry from the store: {failure}");
         }
         figures::log_once(&self.parts);
         event::emit(&event::HOST_STOPPED, &[]);
@@ -230,15 +234,15 @@
     limits.idle_time.max(limits.header_time) + IDLE_MARGIN
 }
 
-async fn keep_availability(parts: Rc<RelayParts>) {
+async fn check_availability(parts: Rc<RelayParts>) {
     loop {
-        tokio::time::sleep(AVAILABILITY_PERIOD).await;
+        tokio::time::sleep(AVAILABILITY_CHECK_INTERVAL).await;
         parts.evict_availability();
     }
 }
 
-// New connections are bounded as the configuration in force says.
-async fn follow_limits(parts: Rc<RelayParts>, limits: Rc<IngressLimits>) {
+// Applies the limits of the configuration in force to new connections.
+async fn apply_limit_changes(parts: Rc<RelayParts>, limits: Rc<IngressLimits>) {
     loop {
         let news = parts.news.notified();
         tokio::pin!(news);
@@ -250,31 +254,33 @@
     }
 }
 
-// Collectors of metrics are no reason not to serve.
-fn open_metrics(settings: &mut RelaySettings) -> Option<TcpListener> {
+// The host starts even if the port for metrics is taken.
+fn listen_for_metrics(settings: &mut RelaySettings) -> Option<TcpListener> {
     let mut address = settings.metrics?;
-    match open("metrics", &mut address) {
+    match listen("metrics", &mut address) {
         Ok(listener) => {
             settings.metrics = Some(address);
             Some(listener)
         }
         Err(error) => {
-            log::warn!("{error:#}; they are on the address for checks only");
+            log::warn!("{error:#}; metrics are served on the checks address only");
             settings.metrics = None;
             None
         }
     }
 }
 
-fn open(key: &str, address: &mut SocketAddr) -> eyre::Result<TcpListener> {
+fn listen(key: &str, address: &mut SocketAddr) -> eyre::Result<TcpListener> {
     let listener =
-        web::bind(*address).wrap_err_with(|| format!("{key}: {address} cannot be listened on"))?;
-    *address = listener.local_addr().wrap_err("the address listened on")?;
+        web::bind(*address).wrap_err_with(|| format!("{key}: failed to listen on {address}"))?;
+    *address = listener
+        .local_addr()
+        .wrap_err("failed to read the local address of a listening socket")?;
     Ok(listener)
 }
 
-// What the balancer and operators are told.
-fn check(parts: &RelayParts, path: &str) -> RelayAnswer {
+// Answers requests of the load balancer and of operators.
+fn answer_check(parts: &RelayParts, path: &str) -> RelayAnswer {
     match path {
         METRICS_PATH => page(200, parts.metrics_page()),
         LIMITS_PATH => page(200, parts.limits_page()),
--- a/src/relay/link.rs
+++ b/src/relay/link.rs
@@ -1,4 +1,4 @@
-//! The store as a relaying host needs it: typed objects, read, watched and written under a condition.
+//! The store interface of a relaying host: typed objects with list, watch, get, conditional put and delete.
 
 use {
     super::{backend::BackendInfo, config::RelayConfig, policy::crash_mark::KeptJudgement},
@@ -12,37 +12,37 @@
     std::{fmt, net::SocketAddr, rc::Rc, time::Duration},
 };
 
-/// The kinds of objects that a host reads or writes.
+/// A kind of objects that a host reads or writes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum StoreKind {
     /// The operators' configuration.
     Config,
-    /// Backend servers; written by themselves.
+    /// Backend servers, each written by the server itself.
     Backends,
-    /// Hosts; written by themselves.
+    /// Hosts, each written by the host itself.
     Hosts,
     /// Leases.
     Leases,
 }
 
-/// A host as others find it.
+/// A host's entry in the store, by which other hosts find it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostEntry {
-    /// Its name.
+    /// The host's name.
     pub name: FastStr,
-    /// Its availability zone.
+    /// The host's availability zone.
     pub zone: FastStr,
-    /// Where other hosts connect.
+    /// The address that other hosts connect to.
     pub peers: SocketAddr,
-    /// How much it can do for others, in Mbit/s of its link; 0 where that is not known.
+    /// The host's capacity to serve other hosts: its link bandwidth in Mbit/s, 0 if unknown.
     #[serde(default)]
     pub strength: u32,
-    /// Requests that end their servers, of which this host was the first to know.
+    /// Requests that crash their servers, as first identified by this host.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub judged: Vec<KeptJudgement>,
 }
 
-/// What an object holds.
+/// The content of an object.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum StoreValue {
     /// The configuration.
@@ -55,25 +55,25 @@
     Lease(LeaseSpec),
 }
 
-/// An object.
+/// An object in the store.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StoreItem {
-    /// Its name within its kind.
+    /// The object's name, unique within its kind.
     pub name: FastStr,
-    /// The store's position of its last change; that of an object that is not there where none is known.
+    /// The store position of the object's last change; an unknown position stands for an object that does not exist.
     #[serde(flatten)]
     pub position: StorePosition,
-    /// What it holds.
+    /// The object's content.
     pub value: StoreValue,
 }
 
-/// How new a list has to be.
+/// How up to date a list has to be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListAge {
-    /// The newest there is.
+    /// The latest state.
     Newest,
-    /// It may be some seconds behind, for a tenth of the price; its position tells how far, and a watch from there
-    /// brings the rest.
+    /// It may be a few seconds behind, at a tenth of the cost. Its position tells how far, and a watch from there
+    /// delivers the later changes.
     MayLag,
 }
 
@@ -82,18 +82,18 @@
 pub struct StoreList {
     /// The objects.
     pub items: Vec<StoreItem>,
-    /// The store's position that the list shows.
+    /// The store position that the list reflects.
     pub position: StorePosition,
-    /// Calls that it took: long lists come in pages.
+    /// Number of calls that it took; long lists are paged.
     pub calls: u32,
 }
 
 /// A change of an object.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum StoreChange {
-    /// It is now this.
+    /// The object was created, or replaced by this one.
     Set(StoreItem),
-    /// It is gone.
+    /// The object with this name was deleted.
     Removed(FastStr),
 }
 
@@ -102,7 +102,7 @@
 pub struct StoreChanges {
     /// The changes, in order.
     pub changes: Vec<StoreChange>,
-    /// The store's position up to which they go.
+    /// The store position up to which they go.
     pub position: StorePosition,
 }
 
@@ -115,32 +115,32 @@
 type PutCall = dyn Fn(StoreKind, StoreItem) -> StoreCall<StorePosition>;
 type DeleteCall = dyn Fn(StoreKind, &str) -> StoreCall<()>;
 
-/// The calls to the store; each is made once and answers within a bounded time.
+/// The calls to the store. Each is made once, without retries, and completes within a bounded time.
 pub struct StoreLink {
     /// Reads all objects of a kind.
     pub list: Box<ListCall>,
-    /// Waits at most this long for changes after a position; gives none when there are none. A position of an
-    /// earlier era is one whose history is gone.
+    /// Waits at most this long for changes after a position; the result is empty if there were none. The history after
+    /// a position of an earlier era is no longer available.
     pub watch: Box<WatchCall>,
     /// Reads an object.
     pub get: Box<GetCall>,
-    /// Writes an object if it still has the item's position, an unknown one for one that is not there; gives its
-    /// new position. What was read in an earlier era is no condition that a write can have.
+    /// Writes an object if it still has the item's position, or does not exist if that position is unknown. Returns the
+    /// new position. A position read in an earlier era cannot be the condition of a write.
     pub put: Box<PutCall>,
-    /// Removes an object.
+    /// Deletes an object.
     pub delete: Box<DeleteCall>,
-    /// The era that its answers name.
+    /// The latest era reported in the store's responses.
     pub eras: Rc<EraTracker>,
 }
 
-/// Told of each call once it is over, and whether the store answered it.
-pub type AnswerNote = dyn Fn(bool);
+/// Called after each call to the store, with whether the store answered it.
+pub type CallObserver = dyn Fn(bool);
 
 impl StoreLink {
-    /// The same calls, with a note of each that is over.
-    pub fn with_note(self, note: Rc<AnswerNote>) -> Self {
-        let notes = [(); 5].map(|()| note.clone());
-        let [list_note, watch_note, get_note, put_note, delete_note] = notes;
+    /// Wraps all calls so that the observer is called after each of them.
+    pub fn with_observer(self, observer: Rc<CallObserver>) -> Self {
+        let observers = [(); 5].map(|()| observer.clone());
+        let [on_list, on_watch, on_get, on_put, on_delete] = observers;
         let Self {
             list,
             watch,
@@ -150,21 +150,21 @@
             eras,
         } = self;
         Self {
-            list: Box::new(move |kind, age| noted(list(kind, age), &list_note)),
-            watch: Box::new(move |kind, since, wait| noted(watch(kind, since, wait), &watch_note)),
-            get: Box::new(move |kind, name| noted(get(kind, name), &get_note)),
-            put: Box::new(move |kind, item| noted(put(kind, item), &put_note)),
-            delete: Box::new(move |kind, name| noted(delete(kind, name), &delete_note)),
+            list: Box::new(move |kind, age| observed(list(kind, age), &on_list)),
+            watch: Box::new(move |kind, since, wait| observed(watch(kind, since, wait), &on_watch)),
+            get: Box::new(move |kind, name| observed(get(kind, name), &on_get)),
+            put: Box::new(move |kind, item| observed(put(kind, item), &on_put)),
+            delete: Box::new(move |kind, name| observed(delete(kind, name), &on_delete)),
             eras,
         }
     }
 }
 
-fn noted<T: 'static>(call: StoreCall<T>, note: &Rc<AnswerNote>) -> StoreCall<T> {
-    let note = note.clone();
+fn observed<T: 'static>(call: StoreCall<T>, observer: &Rc<CallObserver>) -> StoreCall<T> {
+    let observer = observer.clone();
     let calling = async move {
         let answer = call.await;
-        note(answer.as_ref().err().is_none_or(StoreFailure::is_answer));
+        observer(answer.as_ref().err().is_none_or(StoreFailure::is_answer));
         answer
     };
     calling.boxed_local()
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -1,5 +1,5 @@
-//! Passing requests through unaltered to the backend servers of services: which, when, and what
-//! becomes of them when something fails.
+//! Relaying requests unmodified to the backend servers of services: the choice of server, admission, and the handling
+//! of failures.
 
 mod backend;
 mod belief;
--- a/src/relay/objects.rs
+++ b/src/relay/objects.rs
@@ -1,5 +1,5 @@
-//! The operators' objects as a relaying host needs them, and how plain servers of the product's own
-//! interface are spoken to.
+//! Converts the operators' objects to a relay configuration, and implements the product's own protocol for plain
+//! backend servers.
 
 use {
     super::{
@@ -22,16 +22,16 @@
     std::time::Duration,
 };
 
-/// Id that a caller gives its request; servers may repeat it in their answer.
+/// Request id set by the caller; servers may repeat it in their response.
 const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 
-/// What is left of the caller's time, milliseconds; from callers and to servers.
+/// How long the caller will still wait, in milliseconds; sent by callers and to servers.
 const TIME_LEFT: HeaderName = HeaderName::from_static("bayplank-time-left-ms");
 
-/// The server that a request is meant for.
+/// The intended server of a request.
 const SERVER: HeaderName = HeaderName::from_static("bayplank-server");
 
-/// The configuration that the objects in force make.
+/// Converts the objects in force to a relay configuration.
 pub fn relay_config(objects: &ObjectSet, version: u64, body_bytes: usize) -> RelayConfig {
     let routes = objects.pass_routes.values();
     let services = objects.services.keys();
@@ -78,7 +78,7 @@
     }
 }
 
-/// The servers of all services; one that two services select stands there for each.
+/// The servers of all services; a server that two services select is included once for each.
 pub fn relay_backends(objects: &ObjectSet, servers: &[ServerInfo]) -> Vec<BackendInfo> {
     let services = objects.services.values();
     let backends = services.flat_map(|service| {
@@ -91,7 +91,7 @@
     backends.collect()
 }
 
-// A server that was started anew at another address is another one.
+// The address is part of the id, as a server that restarts at another address is a different one.
 fn relay_backend(service: &FastStr, server: &ServerInfo) -> BackendInfo {
     let id = format!("{service}/{}@{}", server.name, server.address);
     BackendInfo {
@@ -107,7 +107,7 @@
     }
 }
 
-/// How plain servers of the product's own interface are spoken to. Their services have no engines.
+/// The product's own protocol for plain servers. Their services have no engines.
 pub fn server_dialect() -> CallDialect {
     CallDialect {
         read_call,
@@ -126,7 +126,7 @@
     let left = text(&TIME_LEFT).and_then(|left| match left.parse() {
         Ok(left) => Some(Duration::from_millis(left)),
         Err(error) => {
-            log::debug!("a caller's {TIME_LEFT} {left:?} is passed over: {error}");
+            log::debug!("ignoring a caller's invalid {TIME_LEFT} header {left:?}: {error}");
             None
         }
     });
@@ -148,7 +148,9 @@
         Ok(value) => {
             headers.insert(SERVER, value);
         }
-        Err(_) => log::warn!("{backend:?} cannot be a header value and is left out"),
+        Err(_) => {
+            log::warn!("omitting the {SERVER} header: {backend:?} is not a valid header value")
+        }
     }
 }
 
@@ -161,7 +163,8 @@
     }
 }
 
-// Never sent: no service of this interface is configured with engines, and nothing is asked of others.
+// Placeholders that are never called: no service of this protocol is configured with engines, and these calls are made
+// to engines only.
 fn no_engines() -> EngineDialect {
     fn no_call() -> BackendCall {
         BackendCall {
--- a/src/relay/settings.rs
+++ b/src/relay/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a host that passes requests through.
+//! Settings of a host that relays requests.
 
 use {
     super::policy::budget::RetryAllowance,
@@ -10,57 +10,57 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// What a relaying host is told at its start.
+/// The settings that a relaying host is started with.
 #[derive(Debug, Clone)]
 pub struct RelaySettings {
     /// The host's name.
     pub name: FastStr,
-    /// Its availability zone.
+    /// The host's availability zone.
     pub zone: FastStr,
-    /// Where callers connect.
+    /// The address that callers connect to.
     pub callers: SocketAddr,
-    /// Where the balancer asks whether the host is ready.
+    /// The address of the load balancer's readiness check.
     pub checks: SocketAddr,
-    /// Path of that question.
+    /// Path of the readiness check.
     pub ready_path: FastStr,
-    /// Where the metrics are served besides, at a port that operators' collectors know; the host goes on
-    /// without it where the port is taken.
+    /// An additional address for metrics, with a port known to the operators' collectors. If the port is taken the host
+    /// runs without it.
     pub metrics: Option<SocketAddr>,
-    /// Where other hosts connect.
+    /// The address that other hosts connect to.
     pub peers: SocketAddr,
-    /// Where some other hosts may be found at the start; any may be gone.
+    /// Addresses of some other hosts to contact at the start; any of them may be gone.
     pub seeds: Vec<SocketAddr>,
-    /// Whether the whole fleet starts for the first time, so that no host is entered in the store yet.
+    /// Whether the whole fleet starts for the first time, so that the store has no host entries yet.
     pub first_start: bool,
-    /// How much the host can do for others, in Mbit/s of its link; 0 where that is not known.
+    /// The host's capacity to serve other hosts: its link bandwidth in Mbit/s, 0 if unknown.
     pub strength: u32,
-    /// Where the store is.
+    /// The store's address.
     pub store: SocketAddr,
-    /// Requests that are held at once at most.
+    /// Maximum number of concurrent requests.
     pub requests_limit: u64,
-    /// Connections to backend servers.
+    /// The pool of connections to backend servers.
     pub pool: PoolSettings,
-    /// What operators bind the hosts to.
+    /// Bounds set by the operators.
     pub bounds: RelayBounds,
 }
 
-/// What operators bind the hosts to.
+/// Bounds on the behaviour of hosts, set by the operators.
 #[derive(Debug, Clone)]
 pub struct RelayBounds {
-    /// Sends beyond the first of each request, by all hosts together.
+    /// Number of retries allowed to all hosts together: sends of a request after its first.
     pub retries: RetryAllowance,
-    /// Time within which a change of the configuration or of the servers has to be in force.
+    /// Maximum time until a change of the configuration or of the servers is in force.
     pub change_time: Duration,
-    /// How often backend servers renew their entries in the store.
+    /// Interval at which backend servers renew their entries in the store.
     pub heartbeat: Duration,
-    /// Least time between the orders of two holders of the lease.
+    /// Minimum time between the orders of two holders of the lease.
     pub lease_time: Duration,
-    /// From the request to stop to the kill.
+    /// Time from the request to stop until the process is killed.
     pub stop_grace: Duration,
-    /// Engines refuse orders with an older token.
+    /// Whether engines refuse orders with an older fencing token.
     pub engines_check_tokens: bool,
-    /// By when keys that were taken away, or added, have to be known.
+    /// How soon added and revoked keys have to be known.
     pub keys: KeyRules,
-    /// What may go beyond the limits of client accounts.
+    /// How far the limits of client accounts may be exceeded.
     pub limits: LimitTolerance,
 }
--- a/src/relay/vital.rs
+++ b/src/relay/vital.rs
@@ -1,21 +1,21 @@
-//! Tasks without which a host is better started anew.
+//! Tasks whose failure ends the process, so that it is restarted.
 
 use {
     futures::FutureExt,
     std::{panic::AssertUnwindSafe, process},
 };
 
-/// Exit code of a process that ends because one of its vital tasks failed.
-const EXIT_BROKEN: i32 = 70;
+/// Exit code of a process that ends because a critical task failed.
+const EXIT_TASK_FAILED: i32 = 70;
 
-/// Runs a task for as long as the host runs. If an assertion in it fails the process ends: a host that no
-/// longer hears of changes would go on with old beliefs. The platform starts it again at once.
+/// Spawns a task that runs for as long as the host does. If it panics the process exits: a host that no longer receives
+/// changes would keep working with outdated state. The platform restarts the process at once.
 pub fn spawn_vital(name: &'static str, task: impl Future<Output = ()> + 'static) {
     tokio::task::spawn_local(async move {
         if AssertUnwindSafe(task).catch_unwind().await.is_err() {
-            // Not through the log, whose queue would not be written out any more.
-            eprintln!("bayplank: the task {name:?} failed; the process ends");
-            process::exit(EXIT_BROKEN);
+            // Not through the logger, as its queue would not be flushed before the exit.
+            eprintln!("bayplank: task {name:?} failed; the process exits");
+            process::exit(EXIT_TASK_FAILED);
         }
     });
 }
