--- a/tests/pass_routes.rs
+++ b/tests/pass_routes.rs
@@ -1,4 +1,4 @@
-//! Requests that are passed through, over the product's own interface: objects, settings, servers.
+//! Relayed requests over the product's own protocol: objects, settings, servers.
 
 mod common;
 
@@ -17,7 +17,7 @@
     },
 };
 
-/// What a caller got, as text: head and body.
+/// Sends a request and returns the response as text, head and body.
 fn ask(address: SocketAddr, method: &str, path: &str, body: &str) -> String {
     let mut stream = TcpStream::connect(address).expect("a connection");
     stream
@@ -64,7 +64,7 @@
     })
 }
 
-// Waits until a path is answered with a status.
+// Waits until requests for a path get this status.
 fn until_status(fleet: &Fleet, relay: SocketAddr, path: &str, wanted: u16) {
     wait(fleet, "the change to be in force", || {
         status(&ask(relay, "GET", path, "")) == wanted
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_request_is_passed_through_unaltered() {
+fn a_request_is_relayed_unmodified() {
     let (fleet, relay) = start();
     until_status(&fleet, relay, "/stock/ready", 200);
     let answer = ask(relay, "POST", "/stock/52-18?blue", "three");
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_change_of_the_routes_is_in_force_and_stays() {
+fn a_change_of_the_routes_stays_in_force_despite_a_later_invalid_one() {
     let (fleet, relay) = start();
     until_status(&fleet, relay, "/stock/1", 200);
     assert_eq!(status(&ask(relay, "GET", "/jobs/1", "")), 404);
@@ -93,13 +93,13 @@
         .apply(route("jobs", desk_route("/jobs/", "once")))
         .unwrap();
     until_status(&fleet, relay, "/jobs/1", 200);
-    let wrong =
+    let invalid =
         json!({"host": "desk.example", "pathPrefix": "jobs", "kind": "once", "targets": []});
-    fleet.apply(route("jobs", wrong)).unwrap();
+    fleet.apply(route("jobs", invalid)).unwrap();
     fleet
         .apply(route("more", desk_route("/more/", "once")))
         .unwrap();
-    // The set has a fault now: the last good one holds, whatever else has changed.
+    // The set of objects is invalid now, so the last valid one stays in force whatever else changed.
     assert_eq!(status(&ask(relay, "GET", "/jobs/1", "")), 200);
     assert_eq!(status(&ask(relay, "GET", "/more/1", "")), 404);
     fleet
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_request_that_may_have_run_is_not_sent_again_and_not_called_not_run() {
+fn a_request_that_may_have_run_is_neither_sent_again_nor_reported_as_not_run() {
     let (fleet, relay) = start();
     fleet
         .apply(route("jobs", desk_route("/jobs/", "once")))
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_server_that_leaves_gets_nothing_new() {
+fn a_leaving_server_gets_no_new_requests() {
     let (fleet, relay) = start();
     until_status(&fleet, relay, "/stock/1", 200);
     let name = fleet.services.keys().next().expect("a service").clone();
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_planned_stop_lets_a_request_end() {
+fn a_graceful_stop_lets_a_request_finish() {
     let (mut fleet, relay) = start();
     until_status(&fleet, relay, "/stock/1", 200);
     let service = fleet.services.values().next().expect("a service").clone();
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn metrics_of_both_kinds_of_requests_are_one_page() {
+fn metrics_of_operations_and_of_relayed_requests_are_one_page() {
     let (fleet, relay) = start();
     until_status(&fleet, relay, "/stock/1", 200);
     let host = fleet.hosts.values().next().expect("a host");
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn wrong_routes_are_named_by_object_and_field() {
+fn invalid_routes_are_reported_by_object_and_field() {
     let sample = cli::demo_objects();
     let cases = [
         (json!({"pathPrefix": "jobs/"}), "spec.pathPrefix"),
--- a/tests/relay_history.rs
+++ b/tests/relay_history.rs
@@ -1,4 +1,4 @@
-//! What hosts that follow one another come to know, and how old they take it for.
+//! What hosts learn by following one another, and the age that they assign to it.
 
 mod backends;
 
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_history_gives_what_is_missing_and_the_whole_where_it_forgot() {
+fn a_history_returns_missing_changes_or_asks_for_a_full_list() {
     let mut history = ChangeHistory::default();
     history.restart(at(10));
     assert_eq!(history.since(StorePosition::default()), MissingNews::Whole);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn the_age_is_that_of_the_older_kind_and_never_grows_by_news() {
+fn the_age_is_that_of_the_older_kind_and_an_older_confirmation_does_not_raise_it() {
     let mut state = ClusterState::default();
     state.confirm(StoreKind::Config, millis(500));
     assert_eq!(state.age(millis(600)), None);
@@ -72,7 +72,7 @@
     assert_eq!(state.age(millis(600)), Some(millis(100)));
 }
 
-// A store, two hosts that read it at their own pace, and one that follows either of them.
+// A store, two hosts that read it independently, and a host that follows either of them.
 #[derive(Default)]
 struct Fleet {
     log: Vec<(u64, StoreChange)>,
@@ -119,34 +119,35 @@
         let held = self.follower.backends_position();
         let news = self.readers[reader].backend_news(held);
         self.follower.take_backend_news(news, Duration::ZERO);
-        assert!(self.follower.backends_position() >= held, "never goes back");
+        let position = self.follower.backends_position();
+        assert!(position >= held, "the follower's position went back");
     }
 
     fn assert_follower_is_right(&self) {
-        // What the store held at the follower's revision.
+        // The store's content at the follower's revision.
         let held = self.follower.backends_position();
-        let mut then = BTreeMap::new();
+        let mut expected = BTreeMap::new();
         for (_, change) in self.log.iter().filter(|entry| entry.0 <= held.revision) {
             match change {
                 StoreChange::Set(StoreItem {
                     value: StoreValue::Backend(info),
                     ..
                 }) => {
-                    then.insert(info.id.clone(), info.clone());
+                    expected.insert(info.id.clone(), info.clone());
                 }
                 StoreChange::Set(_) => {}
                 StoreChange::Removed(id) => {
-                    then.remove(id);
+                    expected.remove(id);
                 }
             }
         }
         let known: Vec<_> = self.follower.backends().cloned().collect();
-        assert_eq!(known, then.into_values().collect::<Vec<_>>());
+        assert_eq!(known, expected.into_values().collect::<Vec<_>>());
     }
 }
 
 #[test]
-fn who_follows_readers_of_any_pace_knows_what_the_store_held_at_its_revision() {
+fn a_follower_knows_the_content_of_the_store_at_its_revision() {
     check!().with_type::<Vec<(u8, u8)>>().for_each(|steps| {
         let mut fleet = Fleet::default();
         for (step, choice) in steps {
@@ -163,38 +164,40 @@
 }
 
 #[test]
-fn news_that_go_round_among_hosts_never_make_a_view_newer_than_it_was() {
-    // Hosts ask each other at random while the store answers nobody; questions and answers take their time.
-    check!().with_type::<Vec<(u8, u8, u8)>>().for_each(|asks| {
-        let mut views = [PastTime::at(Duration::ZERO); 5];
-        let mut now = 10_000;
-        for (who, question, answer) in asks {
-            let (asker, asked) = (usize::from(who % 5), usize::from(who / 5 % 5));
-            let (question, hold, answer) = (
-                u64::from(*question),
-                u64::from(who % 3) * 100,
-                u64::from(*answer),
-            );
-            let told_at = now + question + hold;
-            let news = ClusterNews {
-                age: Some(views[asked].age(millis(told_at))),
-                held: millis(hold),
-                ..ClusterNews::default()
-            };
-            views[asker] = views[asker].max(news.confirmed(millis(now)).unwrap());
-            now = told_at + answer;
-            let newest = views.iter().max().copied();
-            assert_eq!(
-                newest,
-                Some(PastTime::at(Duration::ZERO)),
-                "nobody has heard from the store since"
-            );
-        }
-    });
+fn news_exchanged_between_hosts_never_makes_a_view_look_newer_than_it_is() {
+    // Hosts query each other at random while the store is down; requests and responses have random delays.
+    check!()
+        .with_type::<Vec<(u8, u8, u8)>>()
+        .for_each(|queries| {
+            let mut views = [PastTime::at(Duration::ZERO); 5];
+            let mut now = 10_000;
+            for (pair, request, response) in queries {
+                let (sender, receiver) = (usize::from(pair % 5), usize::from(pair / 5 % 5));
+                let (request_delay, hold, response_delay) = (
+                    u64::from(*request),
+                    u64::from(pair % 3) * 100,
+                    u64::from(*response),
+                );
+                let answered_at = now + request_delay + hold;
+                let news = ClusterNews {
+                    age: Some(views[receiver].age(millis(answered_at))),
+                    held: millis(hold),
+                    ..ClusterNews::default()
+                };
+                views[sender] = views[sender].max(news.confirmed(millis(now)).unwrap());
+                now = answered_at + response_delay;
+                let newest = views.iter().max().copied();
+                assert_eq!(
+                    newest,
+                    Some(PastTime::at(Duration::ZERO)),
+                    "no host has read the store since"
+                );
+            }
+        });
 }
 
 #[test]
-fn a_host_that_was_just_started_takes_old_news_for_as_old_as_they_are() {
+fn a_newly_started_host_keeps_the_age_of_news_older_than_itself() {
     let news = ClusterNews {
         age: Some(millis(1_800)),
         held: millis(20),
--- a/tests/store_restores.rs
+++ b/tests/store_restores.rs
@@ -1,4 +1,4 @@
-//! What hosts know of a store that comes back from copies of itself.
+//! What hosts know after the store was restored from a backup.
 
 mod backends;
 
@@ -17,8 +17,8 @@
 
 const HEARTBEAT: Duration = Duration::from_millis(1_200);
 
-/// Longer than a server has to write its entry again.
-const RELISTED: Duration = Duration::from_secs(10);
+/// Longer than the time that a server has to rewrite its entry.
+const AFTER_REWRITE: Duration = Duration::from_secs(10);
 
 fn millis(count: u64) -> Duration {
     Duration::from_millis(count)
@@ -41,12 +41,12 @@
 }
 
 fn usable(state: &ClusterState) -> Vec<(FastStr, u64, bool)> {
-    let mut usable: Vec<_> = state.usable().iter().map(brief).collect();
+    let mut usable: Vec<_> = state.usable().iter().map(summary).collect();
     usable.sort();
     usable
 }
 
-fn brief(info: &BackendInfo) -> (FastStr, u64, bool) {
+fn summary(info: &BackendInfo) -> (FastStr, u64, bool) {
     (info.id.clone(), info.born, info.leaving)
 }
 
@@ -54,15 +54,15 @@
     StorePosition::new(era, revision)
 }
 
-// A host that knows these servers at a position of the first era.
-fn knowing(servers: &[BackendInfo]) -> ClusterState {
+// A host's state that contains these servers, at a position of the first era.
+fn state_with(servers: &[BackendInfo]) -> ClusterState {
     let mut state = ClusterState::new(HEARTBEAT);
     assert!(state.set_backends(servers.to_vec(), at(1, 50), millis(0)));
     state
 }
 
 #[test]
-fn a_later_era_shows_more_whatever_its_revision() {
+fn a_position_of_a_later_era_is_greater_whatever_its_revision() {
     assert!(at(2, 1) > at(1, 900));
     assert!(at(1, 2) > at(1, 1));
     for position in [at(0, 0), at(1, 900), at(2, 1), at(70, 1 << 39)] {
@@ -72,17 +72,17 @@
     let largest = at(8_000, u64::MAX).number();
     assert!(
         largest < 1 << 53,
-        "{largest} is no whole number for all readers of JSON"
+        "JSON readers that use doubles cannot represent {largest} exactly"
     );
 }
 
 #[test]
-fn a_list_of_a_restored_store_does_not_make_a_leaving_server_current() {
-    let mut state = knowing(&[server("w-1", 1, true), server("w-2", 1, false)]);
-    let copy = vec![server("w-1", 1, false), server("w-2", 1, false)];
-    assert!(state.set_backends(copy, at(2, 30), millis(100)));
+fn a_restored_list_does_not_revert_a_leaving_server() {
+    let mut state = state_with(&[server("w-1", 1, true), server("w-2", 1, false)]);
+    let backup = vec![server("w-1", 1, false), server("w-2", 1, false)];
+    assert!(state.set_backends(backup, at(2, 30), millis(100)));
     assert!(state.usable().iter().any(|info| info.leaving));
-    // Written again as it was before, by whomever; then by a later run under its name.
+    // The entry is rewritten unchanged, by any writer; then a later run writes one under the same id.
     state.change_backends(vec![set(server("w-1", 1, false))], at(2, 31), millis(200));
     assert_eq!(usable(&state)[0], ("w-1".into(), 1, true));
     state.change_backends(vec![set(server("w-1", 2, false))], at(2, 32), millis(300));
@@ -90,36 +90,40 @@
 }
 
 #[test]
-fn a_server_that_had_gone_is_used_again_only_if_its_entry_stands() {
-    let mut state = knowing(&[server("w-1", 1, false)]);
+fn a_departed_server_is_used_again_only_if_its_entry_stays_listed() {
+    let mut state = state_with(&[server("w-1", 1, false)]);
     state.change_backends(
         vec![StoreChange::Removed("w-1".into())],
         at(1, 51),
         millis(1),
     );
-    let copy = vec![server("w-1", 1, false)];
-    assert!(state.set_backends(copy.clone(), at(2, 30), millis(100)));
+    let backup = vec![server("w-1", 1, false)];
+    assert!(state.set_backends(backup.clone(), at(2, 30), millis(100)));
     assert!(state.usable().is_empty());
-    // Another host that follows this one holds the same, be it that it knew the server as current, or nothing.
-    for mut follower in [knowing(&copy), ClusterState::new(HEARTBEAT)] {
+    // A host that follows this one agrees, whether it knew the server as current or knew nothing.
+    for mut follower in [state_with(&backup), ClusterState::new(HEARTBEAT)] {
         let news = state.backend_news(follower.backends_position());
         follower.take_backend_news(news, millis(150));
         assert!(follower.usable().is_empty());
     }
     state.expire(millis(100) + HEARTBEAT * 3);
-    assert_eq!(state.usable().len(), 1, "the store would have removed it");
+    assert_eq!(
+        state.usable().len(),
+        1,
+        "the store would have removed the entry of a departed server"
+    );
 }
 
 #[test]
-fn a_run_that_the_copy_shows_as_an_earlier_one_stays_the_later_one() {
-    let mut state = knowing(&[server("w-1", 9, false)]);
+fn an_earlier_run_in_the_backup_does_not_replace_the_later_one() {
+    let mut state = state_with(&[server("w-1", 9, false)]);
     assert!(state.set_backends(vec![server("w-1", 4, false)], at(2, 30), millis(100)));
     assert_eq!(usable(&state), [("w-1".into(), 9, false)]);
 }
 
 #[test]
-fn servers_that_are_not_written_again_are_given_up() {
-    let mut state = knowing(&[server("w-1", 1, false)]);
+fn servers_that_do_not_rewrite_their_entries_are_dropped() {
+    let mut state = state_with(&[server("w-1", 1, false)]);
     assert!(state.set_backends(Vec::new(), at(2, 30), millis(100)));
     assert_eq!(state.usable().len(), 1);
     assert!(!state.expire(HEARTBEAT * 3));
@@ -138,7 +142,7 @@
 }
 
 #[test]
-fn hosts_that_the_copy_lacks_are_known_and_not_listed() {
+fn hosts_missing_from_the_backup_are_known_but_not_listed() {
     let mut state = ClusterState::new(HEARTBEAT);
     let known = [host("front-1", 5), host("front-2", 5)];
     state.set_hosts(known.to_vec(), at(1, 50), millis(0));
@@ -150,12 +154,12 @@
     for state in [&state, &follower] {
         assert!(!known.iter().any(|entry| state.is_host_listed(entry)));
     }
-    let again = StoreChange::Set(StoreItem {
+    let rewritten = StoreChange::Set(StoreItem {
         name: "front-1".into(),
         position: at(2, 31),
         value: StoreValue::Host(known[0].clone()),
     });
-    state.change_hosts(vec![again], at(2, 31));
+    state.change_hosts(vec![rewritten], at(2, 31));
     assert!(state.is_host_listed(&known[0]));
     state.expire(Duration::from_secs(60));
     let shown: Vec<HostEntry> = state.hosts().cloned().collect();
@@ -163,7 +167,7 @@
 }
 
 #[test]
-fn a_restored_store_proves_a_configuration_only_once_it_was_written_again() {
+fn a_restored_store_proves_a_configuration_only_after_lost_writes_could_be_repeated() {
     let mut state = ClusterState::new(HEARTBEAT);
     assert_eq!(state.note_era(1, millis(0)), None);
     state.set_backends(Vec::new(), at(1, 50), millis(0));
@@ -175,7 +179,7 @@
     assert_eq!(state.note_era(2, millis(2_000)), Some(1));
     prove(&mut state, 2_500);
     assert_eq!(proved(&state), Some(millis(8_000)));
-    // What another host knew before it.
+    // Knowledge of another host from before the restore.
     prove(&mut state, 1_900);
     assert_eq!(proved(&state), Some(millis(7_100)));
     prove(&mut state, 3_200);
@@ -183,9 +187,9 @@
 }
 
 #[test]
-fn answers_name_the_era_and_those_of_an_earlier_one_are_none() {
+fn responses_report_the_era_and_those_of_an_earlier_era_are_rejected() {
     let eras = EraTracker::default();
-    assert_eq!(eras.read(None), Ok(0), "a store that names none");
+    assert_eq!(eras.read(None), Ok(0), "a store that reports no era");
     let first = eras.read(Some(b"1")).expect("an era");
     assert!(first > 0);
     let second = eras.read(Some(b" 2 ")).expect("an era");
@@ -206,19 +210,23 @@
         assert_eq!(eras.read(text), Ok(second), "{text:?}");
     }
     assert_eq!(eras.doubtful(), 7);
-    assert_eq!(eras.read(Some(b"5")), Ok(first + 4), "a host may miss some");
+    assert_eq!(
+        eras.read(Some(b"5")),
+        Ok(first + 4),
+        "a host may miss some eras"
+    );
     eras.note(first);
     assert_eq!(eras.latest(), first + 4);
 }
 
 #[test]
-fn a_store_that_begins_to_name_eras_is_in_a_later_one_than_hosts_counted() {
+fn the_first_era_a_store_reports_is_later_than_any_that_hosts_counted() {
     let eras = EraTracker::default();
     assert_eq!(eras.count_restore(0), Some(1));
     assert_eq!(
         eras.count_restore(0),
         Some(1),
-        "another kind's list shows it too"
+        "the same restore, seen in another kind's list"
     );
     assert_eq!(eras.read(None), Ok(1));
     assert_eq!(eras.count_restore(1), Some(2));
@@ -229,12 +237,12 @@
         (0..200).fold(0, |held, _| counting.count_restore(held).unwrap_or(held));
         assert!(
             counting.latest() < eras.latest(),
-            "however many were counted"
+            "counted eras never reach the reported ones"
         );
     }
 }
 
-// The store, and copies of it.
+// A model of the store; a clone serves as its backup.
 #[derive(Clone, Default)]
 struct ModelStore {
     era: u32,
@@ -267,7 +275,7 @@
     }
 }
 
-// A host, and the runs that it has heard of as leaving or gone.
+// A model of a host, with the runs that it has learned to be leaving or departed.
 struct ModelHost {
     state: ClusterState,
     departed: BTreeSet<(FastStr, u64)>,
@@ -281,7 +289,7 @@
         }
     }
 
-    // Makes a step, and checks that the host knows no less after it.
+    // Applies a step, and checks that the host's position does not fall and no departed run becomes current again.
     fn step(&mut self, step: impl FnOnce(&mut ClusterState)) {
         let before = self.state.usable();
         let position = self.state.backends_position();
@@ -299,8 +307,8 @@
             }
         }
         let mut current = after.iter().filter(|info| !info.leaving);
-        let back = current.find(|info| self.departed.contains(&(info.id.clone(), info.born)));
-        assert_eq!(back, None, "a run that left is current again");
+        let returned = current.find(|info| self.departed.contains(&(info.id.clone(), info.born)));
+        assert_eq!(returned, None, "a departed run is current again");
     }
 
     fn read(&mut self, store: &ModelStore, now: Duration) {
@@ -321,11 +329,12 @@
     }
 }
 
-// Servers, what they are, and a store that is told so unless it was restored since.
+// Backend servers with their actual state, the store that they write it to, the store's backup, and the hosts. The
+// store may lack writes after a restore.
 struct ModelFleet {
     servers: BTreeMap<FastStr, Option<BackendInfo>>,
     store: ModelStore,
-    copy: ModelStore,
+    backup: ModelStore,
     hosts: Vec<ModelHost>,
     now: Duration,
 }
@@ -338,14 +347,14 @@
         };
         Self {
             servers: BTreeMap::new(),
-            copy: store.clone(),
+            backup: store.clone(),
             store,
             hosts: (0..4).map(|_| ModelHost::new()).collect(),
             now: Duration::ZERO,
         }
     }
 
-    // A server starts under a new id or anew under its own, says that it leaves, or goes.
+    // A server starts under a new id or restarts under its own, announces that it is leaving, or departs.
     fn change_server(&mut self, id: u8, what: u8) {
         let id = FastStr::from_string(format!("w-{}", id % 5));
         let born = self.now.as_millis() as u64;
@@ -362,7 +371,7 @@
         self.servers.insert(id, entry);
     }
 
-    fn write_again(&mut self) {
+    fn rewrite_entries(&mut self) {
         for (id, entry) in &self.servers {
             self.store.write(id, entry.as_ref());
         }
@@ -370,20 +379,20 @@
 
     fn restore(&mut self) {
         let era = self.store.era + 1;
-        self.store = self.copy.clone();
+        self.store = self.backup.clone();
         self.store.era = era;
     }
 
-    // Two hosts read the store, the others follow any.
-    fn hear(&mut self, host: usize, from: usize) {
+    // The first two hosts read the store, the others follow any other host.
+    fn update_host(&mut self, host: usize, from: usize) {
         let host = host % self.hosts.len();
         if host < 2 {
             return self.hosts[host].read(&self.store, self.now);
         }
-        let mut hearing = self.hosts.remove(host);
+        let mut follower = self.hosts.remove(host);
         let from = from % self.hosts.len();
-        hearing.follow(&self.hosts[from], self.now);
-        self.hosts.insert(host, hearing);
+        follower.follow(&self.hosts[from], self.now);
+        self.hosts.insert(host, follower);
     }
 
     fn step(&mut self, (step, one, two): (u8, u8, u8)) {
@@ -391,32 +400,32 @@
         let (host, from) = (usize::from(one), usize::from(two));
         match step % 12 {
             0..=3 => self.change_server(one, two),
-            4 => self.copy = self.store.clone(),
+            4 => self.backup = self.store.clone(),
             5 => self.restore(),
-            6 => self.write_again(),
+            6 => self.rewrite_entries(),
             7 => {
                 let host = host % self.hosts.len();
                 self.hosts[host] = ModelHost::new();
             }
-            _ => self.hear(host, from),
+            _ => self.update_host(host, from),
         }
     }
 
-    fn assert_all_know_what_is(&mut self) {
-        self.write_again();
+    fn assert_all_hosts_converge(&mut self) {
+        self.rewrite_entries();
         for round in 0..2 {
             for host in 0..self.hosts.len() {
-                self.hear(host, round);
+                self.update_host(host, round);
             }
         }
-        self.now += RELISTED;
+        self.now += AFTER_REWRITE;
         let now = self.now;
         for host in &mut self.hosts {
             host.step(|state| {
                 state.expire(now);
             });
         }
-        let listed: Vec<_> = self.store.listed.values().map(brief).collect();
+        let listed: Vec<_> = self.store.listed.values().map(summary).collect();
         for host in &self.hosts {
             assert_eq!(usable(&host.state), listed);
         }
@@ -424,12 +433,12 @@
 }
 
 #[test]
-fn whatever_is_restored_nothing_is_unlearned_and_in_the_end_all_know_what_the_store_has() {
+fn hosts_forget_nothing_at_a_restore_and_converge_to_the_content_of_the_store() {
     check!().with_type::<Vec<(u8, u8, u8)>>().for_each(|steps| {
         let mut fleet = ModelFleet::new();
         for step in steps {
             fleet.step(*step);
         }
-        fleet.assert_all_know_what_is();
+        fleet.assert_all_hosts_converge();
     });
 }
