--- a/src/relay/belief/backend_list.rs
+++ b/src/relay/belief/backend_list.rs
@@ -5,7 +5,7 @@
 //! is still leaving, a server that had departed is not used, and a server missing from the backup has not departed.
 
 use {
-    super::history::{ChangeHistory, DepartedRun, KindNews, MissingNews},
+    super::history::{ChangeHistory, ChangesSince, DepartedRun, KindNews},
     crate::{
         relay::{
             backend::BackendInfo,
@@ -79,8 +79,8 @@
     }
 
     /// Number of lists and batches of changes that were applied.
-    pub fn recorded(&self) -> u64 {
-        self.history.recorded()
+    pub fn update_count(&self) -> u64 {
+        self.history.update_count()
     }
 
     /// Sets whether the list may have been read from a lagging replica. Such a list is not sent to other hosts until a
@@ -90,7 +90,7 @@
     }
 
     /// Forgets the revision of an unconfirmed list, which the store does not have.
-    pub fn drop_unconfirmed(&mut self) {
+    pub fn forget_unconfirmed(&mut self) {
         if mem::take(&mut self.is_unconfirmed) {
             self.history.forget_revision();
         }
@@ -110,7 +110,7 @@
         if position < held {
             return false;
         }
-        let is_restored = position.era > held.era && self.recorded() > 0;
+        let is_restored = position.era > held.era && self.update_count() > 0;
         let mut before = mem::take(&mut self.listed);
         let mut withheld = mem::take(&mut self.withheld);
         for info in list {
@@ -161,7 +161,7 @@
     }
 
     /// Applies an update received from another host.
-    pub fn take_news(&mut self, news: KindNews, had_outage: bool, now: Duration) {
+    pub fn apply_news(&mut self, news: KindNews, had_outage: bool, now: Duration) {
         let KindNews {
             position,
             is_whole,
@@ -182,16 +182,16 @@
         }
         let position = self.position();
         match self.history.since(held) {
-            MissingNews::Nothing => KindNews {
+            ChangesSince::UpToDate => KindNews {
                 position,
                 ..KindNews::default()
             },
-            MissingNews::Changes(changes) => KindNews {
+            ChangesSince::Changes(changes) => KindNews {
                 position,
                 changes,
                 ..KindNews::default()
             },
-            MissingNews::Whole => KindNews {
+            ChangesSince::Evicted => KindNews {
                 position,
                 is_whole: true,
                 changes: self.entries().map(StoreChange::Set).collect(),
--- a/src/relay/belief/cluster.rs
+++ b/src/relay/belief/cluster.rs
@@ -46,12 +46,12 @@
     // When the last outage of at least that length ended, as observed by this host or reported by another.
     last_outage_end: Option<Duration>,
     // The latest time at which the configuration and the list of backend servers are known to have been up to date.
-    config_confirmed: Option<PastTime>,
-    backends_confirmed: Option<PastTime>,
+    config_confirmed_at: Option<PastTime>,
+    backends_confirmed_at: Option<PastTime>,
     // The latest time at which the configuration was proved up to date: a request sent then found nothing newer.
-    config_proved: Option<PastTime>,
+    config_proved_at: Option<PastTime>,
     // When the list of backend servers was last read from the store, even if from a lagging replica.
-    backends_read: Option<Duration>,
+    backends_read_at: Option<Duration>,
     // The store does not respond to this host, or to the host that it follows.
     store_lost: bool,
 }
@@ -83,10 +83,10 @@
             rewrite_time: heartbeat,
             min_outage: heartbeat.saturating_mul(HEARTBEATS_TO_EXPIRY),
             last_outage_end: None,
-            config_confirmed: None,
-            backends_confirmed: None,
-            config_proved: None,
-            backends_read: None,
+            config_confirmed_at: None,
+            backends_confirmed_at: None,
+            config_proved_at: None,
+            backends_read_at: None,
             store_lost: false,
         }
     }
@@ -120,7 +120,7 @@
 
     /// Number of lists and batches of changes of backend servers that were applied.
     pub fn changes_seen(&self) -> u64 {
-        self.backends.recorded()
+        self.backends.update_count()
     }
 
     /// The store position that the list of hosts reflects.
@@ -187,10 +187,10 @@
     /// Records that the state known of a kind was up to date at this time, which may precede the host's start.
     pub fn confirm_as(&mut self, kind: StoreKind, at: PastTime) {
         let confirmed = match kind {
-            StoreKind::Config => &mut self.config_confirmed,
+            StoreKind::Config => &mut self.config_confirmed_at,
             StoreKind::Backends => {
                 self.backends.set_unconfirmed(false);
-                &mut self.backends_confirmed
+                &mut self.backends_confirmed_at
             }
             StoreKind::Hosts => return self.hosts.set_unconfirmed(false),
             StoreKind::Leases => return,
@@ -203,7 +203,7 @@
     /// have had time to be repeated.
     pub fn prove_config(&mut self, at: PastTime) {
         if self.is_before_restore(at) || self.is_rewritten(at) {
-            self.config_proved = self.config_proved.max(Some(at));
+            self.config_proved_at = self.config_proved_at.max(Some(at));
         }
     }
 
@@ -214,13 +214,13 @@
 
     /// How long ago the configuration was last proved up to date; none if it never was.
     pub fn proof_age(&self, now: Duration) -> Option<Duration> {
-        Some(self.config_proved?.age(now))
+        Some(self.config_proved_at?.age(now))
     }
 
     /// The latest time at which both the configuration and the backend servers are known to have been up to date;
     /// none until both are known.
     pub fn confirmed(&self) -> Option<PastTime> {
-        Some(self.config_confirmed?.min(self.backends_confirmed?))
+        Some(self.config_confirmed_at?.min(self.backends_confirmed_at?))
     }
 
     /// Maximum age of the configuration and the backend servers, whichever is older; none until both are known.
@@ -245,7 +245,7 @@
     /// Records that the list of backend servers was read from the store, even if from a lagging replica: entries
     /// missing from the next read were removed after this one.
     pub fn note_backends_read(&mut self, now: Duration) {
-        self.backends_read = Some(now);
+        self.backends_read_at = Some(now);
     }
 
     /// Records that a store outage ended at this time.
@@ -260,8 +260,8 @@
 
     // A list that arrives after nobody could refresh it for the minimum outage time marks the end of an outage.
     fn detect_outage(&mut self, now: Duration) {
-        let read = self.backends_read.map(PastTime::at);
-        let known = self.backends_confirmed.max(read);
+        let read = self.backends_read_at.map(PastTime::at);
+        let known = self.backends_confirmed_at.max(read);
         if known.is_some_and(|at| at.age(now) >= self.min_outage) {
             self.note_outage(now);
         }
@@ -299,8 +299,8 @@
     /// have that revision.
     pub fn drop_doubted(&mut self, kind: StoreKind) {
         match kind {
-            StoreKind::Backends => self.backends.drop_unconfirmed(),
-            StoreKind::Hosts => self.hosts.drop_unconfirmed(),
+            StoreKind::Backends => self.backends.forget_unconfirmed(),
+            StoreKind::Hosts => self.hosts.forget_unconfirmed(),
             StoreKind::Config | StoreKind::Leases => {}
         }
     }
@@ -327,7 +327,7 @@
         }
         self.detect_outage(now);
         let had_outage = self.had_outage(now);
-        self.backends.take_news(news, had_outage, now);
+        self.backends.apply_news(news, had_outage, now);
     }
 
     /// The update of the backend servers for another host that knows them up to `held`.
@@ -368,7 +368,7 @@
 
     /// Applies an update of the hosts received from another host.
     pub fn take_host_news(&mut self, news: KindNews, now: Duration) {
-        self.hosts.take_news(news, now);
+        self.hosts.apply_news(news, now);
     }
 
     /// The update of the hosts for another host that knows them up to `held`.
--- a/src/relay/belief/history.rs
+++ b/src/relay/belief/history.rs
@@ -12,13 +12,13 @@
 
 /// The changes after a position, for a host that knows everything up to it.
 #[derive(Debug, Clone, PartialEq)]
-pub enum MissingNews {
+pub enum ChangesSince {
     /// There are none.
-    Nothing,
+    UpToDate,
     /// The changes, in order.
     Changes(Vec<StoreChange>),
     /// Not all of them are kept: the host needs all objects.
-    Whole,
+    Evicted,
 }
 
 /// An update of one kind of objects, sent from one host to another.
@@ -53,7 +53,7 @@
     // Changes up to this position are no longer kept.
     evicted_position: StorePosition,
     position: StorePosition,
-    recorded: u64,
+    update_count: u64,
 }
 
 impl ChangeHistory {
@@ -63,8 +63,8 @@
     }
 
     /// Number of lists and batches of changes that were recorded.
-    pub fn recorded(&self) -> u64 {
-        self.recorded
+    pub fn update_count(&self) -> u64 {
+        self.update_count
     }
 
     /// Records changes up to a position; those up to an older position than the current one are ignored.
@@ -76,7 +76,7 @@
         if changes.is_empty() {
             return;
         }
-        self.recorded += 1;
+        self.update_count += 1;
         self.change_count += changes.len();
         self.batches.push_back((position, changes));
         while self.change_count > MAX_CHANGES {
@@ -96,7 +96,7 @@
             "a list at {position} cannot replace one at {}",
             self.position
         );
-        self.recorded += 1;
+        self.update_count += 1;
         self.batches.clear();
         self.change_count = 0;
         (self.evicted_position, self.position) = (position, position);
@@ -111,18 +111,18 @@
     }
 
     /// The changes for a host that knows everything up to `held`.
-    pub fn since(&self, held: StorePosition) -> MissingNews {
+    pub fn since(&self, held: StorePosition) -> ChangesSince {
         let last = self
             .batches
             .back()
             .map_or(self.evicted_position, |batch| batch.0);
         if held >= last {
-            return MissingNews::Nothing;
+            return ChangesSince::UpToDate;
         }
         if held < self.evicted_position {
-            return MissingNews::Whole;
+            return ChangesSince::Evicted;
         }
         let missing = self.batches.iter().filter(|batch| batch.0 > held);
-        MissingNews::Changes(missing.flat_map(|batch| batch.1.clone()).collect())
+        ChangesSince::Changes(missing.flat_map(|batch| batch.1.clone()).collect())
     }
 }
--- a/src/relay/belief/host_list.rs
+++ b/src/relay/belief/host_list.rs
@@ -1,7 +1,7 @@
 //! The hosts listed in the store, and those that a restored store does not list yet.
 
 use {
-    super::history::{ChangeHistory, KindNews, MissingNews},
+    super::history::{ChangeHistory, ChangesSince, KindNews},
     crate::{
         relay::link::{HostEntry, StoreChange, StoreItem, StoreValue},
         store::StorePosition,
@@ -59,7 +59,7 @@
     }
 
     /// Forgets the revision of an unconfirmed list, which the store does not have.
-    pub fn drop_unconfirmed(&mut self) {
+    pub fn forget_unconfirmed(&mut self) {
         if mem::take(&mut self.is_unconfirmed) {
             self.history.forget_revision();
         }
@@ -137,7 +137,7 @@
     }
 
     /// Applies an update received from another host.
-    pub fn take_news(&mut self, news: KindNews, now: Duration) {
+    pub fn apply_news(&mut self, news: KindNews, now: Duration) {
         match news.is_whole {
             true => {
                 let hosts = news.changes.into_iter().filter_map(host_of).collect();
@@ -152,11 +152,13 @@
         let missing = self.history.since(held);
         KindNews {
             position: self.position(),
-            is_whole: missing == MissingNews::Whole,
+            is_whole: missing == ChangesSince::Evicted,
             changes: match missing {
-                MissingNews::Nothing => Vec::new(),
-                MissingNews::Changes(changes) => changes,
-                MissingNews::Whole => self.shown().map(host_item).map(StoreChange::Set).collect(),
+                ChangesSince::UpToDate => Vec::new(),
+                ChangesSince::Changes(changes) => changes,
+                ChangesSince::Evicted => {
+                    self.shown().map(host_item).map(StoreChange::Set).collect()
+                }
             },
             departed: Vec::new(),
         }
--- a/tests/relay_history.rs
+++ b/tests/relay_history.rs
@@ -5,7 +5,7 @@
 use {
     bayplank::{
         relay::{
-            BackendInfo, ChangeHistory, ClusterNews, ClusterState, MissingNews, PastTime,
+            BackendInfo, ChangeHistory, ChangesSince, ClusterNews, ClusterState, PastTime,
             StoreChange, StoreItem, StoreKind, StoreValue,
         },
         store::StorePosition,
@@ -42,24 +42,27 @@
 fn a_history_returns_missing_changes_or_asks_for_a_full_list() {
     let mut history = ChangeHistory::default();
     history.restart(at(10));
-    assert_eq!(history.since(StorePosition::default()), MissingNews::Whole);
-    assert_eq!(history.since(at(10)), MissingNews::Nothing);
+    assert_eq!(
+        history.since(StorePosition::default()),
+        ChangesSince::Evicted
+    );
+    assert_eq!(history.since(at(10)), ChangesSince::UpToDate);
     history.record(at(12), Vec::new());
     assert_eq!(
         (history.position(), history.since(at(11))),
-        (at(12), MissingNews::Nothing)
+        (at(12), ChangesSince::UpToDate)
     );
     history.record(at(14), vec![set(backend("b", false))]);
     history.record(at(13), vec![set(backend("late", false))]);
     assert_eq!(
         history.since(at(12)),
-        MissingNews::Changes(vec![set(backend("b", false))])
+        ChangesSince::Changes(vec![set(backend("b", false))])
     );
     for revision in 15..1_000 {
         history.record(at(revision), vec![set(backend("c", false))]);
     }
-    assert_eq!(history.since(at(14)), MissingNews::Whole);
-    assert!(matches!(history.since(at(998)), MissingNews::Changes(changes) if changes.len() == 1));
+    assert_eq!(history.since(at(14)), ChangesSince::Evicted);
+    assert!(matches!(history.since(at(998)), ChangesSince::Changes(changes) if changes.len() == 1));
 }
 
 #[test]
