--- a/src/relay/belief/cluster.rs
+++ b/src/relay/belief/cluster.rs
@@ -119,7 +119,7 @@
     }
 
     /// Number of lists and batches of changes of backend servers that were applied.
-    pub fn changes_seen(&self) -> u64 {
+    pub fn backend_update_count(&self) -> u64 {
         self.backends.update_count()
     }
 
@@ -140,7 +140,7 @@
 
     /// Records an era reported by the store or another host. Returns the previous era if the new one shows that the
     /// store was restored.
-    pub fn note_era(&mut self, era: u32, now: Duration) -> Option<u32> {
+    pub fn record_era(&mut self, era: u32, now: Duration) -> Option<u32> {
         if era <= self.era {
             return None;
         }
@@ -158,7 +158,7 @@
     }
 
     /// Whether all lists have been read again since the last restore; returns true once per restore.
-    pub fn take_reread(&mut self) -> bool {
+    pub fn take_reread_complete(&mut self) -> bool {
         let era = self.era;
         let is_read = self.backends_position().era == era && self.hosts_position().era == era;
         match &mut self.last_restore {
@@ -181,11 +181,11 @@
 
     /// Records that the state known of a kind was up to date at this time of the host's clock.
     pub fn confirm(&mut self, kind: StoreKind, at: Duration) {
-        self.confirm_as(kind, PastTime::at(at));
+        self.confirm_at(kind, PastTime::at(at));
     }
 
     /// Records that the state known of a kind was up to date at this time, which may precede the host's start.
-    pub fn confirm_as(&mut self, kind: StoreKind, at: PastTime) {
+    pub fn confirm_at(&mut self, kind: StoreKind, at: PastTime) {
         let confirmed = match kind {
             StoreKind::Config => &mut self.config_confirmed_at,
             StoreKind::Backends => {
@@ -229,7 +229,7 @@
     }
 
     /// Puts a configuration in force if it is newer than the current one, and returns whether it was.
-    pub fn offer_config(&mut self, config: RelayConfig) -> bool {
+    pub fn update_config(&mut self, config: RelayConfig) -> bool {
         let before = self.config_version();
         if config.version <= before {
             return false;
@@ -244,12 +244,12 @@
 
     /// Records that the list of backend servers was read from the store, even if from a lagging replica: entries
     /// missing from the next read were removed after this one.
-    pub fn note_backends_read(&mut self, now: Duration) {
+    pub fn record_backends_read(&mut self, now: Duration) {
         self.backends_read_at = Some(now);
     }
 
     /// Records that a store outage ended at this time.
-    pub fn note_outage(&mut self, ended: Duration) {
+    pub fn record_outage(&mut self, ended: Duration) {
         self.last_outage_end = self.last_outage_end.max(Some(ended));
     }
 
@@ -263,7 +263,7 @@
         let read = self.backends_read_at.map(PastTime::at);
         let known = self.backends_confirmed_at.max(read);
         if known.is_some_and(|at| at.age(now) >= self.min_outage) {
-            self.note_outage(now);
+            self.record_outage(now);
         }
     }
 
@@ -287,7 +287,7 @@
     }
 
     /// Marks the list of a kind that was just set as read from a replica that may lag.
-    pub fn doubt(&mut self, kind: StoreKind) {
+    pub fn mark_unconfirmed(&mut self, kind: StoreKind) {
         match kind {
             StoreKind::Backends => self.backends.set_unconfirmed(true),
             StoreKind::Hosts => self.hosts.set_unconfirmed(true),
@@ -297,7 +297,7 @@
 
     /// Forgets the revision up to which a kind is known, if its list is marked as possibly lagging: the store does not
     /// have that revision.
-    pub fn drop_doubted(&mut self, kind: StoreKind) {
+    pub fn forget_unconfirmed(&mut self, kind: StoreKind) {
         match kind {
             StoreKind::Backends => self.backends.forget_unconfirmed(),
             StoreKind::Hosts => self.hosts.forget_unconfirmed(),
@@ -321,7 +321,7 @@
     }
 
     /// Applies an update of the backend servers received from another host.
-    pub fn take_backend_news(&mut self, news: KindNews, now: Duration) {
+    pub fn apply_backend_news(&mut self, news: KindNews, now: Duration) {
         if news.position < self.backends_position() {
             return;
         }
@@ -367,7 +367,7 @@
     }
 
     /// Applies an update of the hosts received from another host.
-    pub fn take_host_news(&mut self, news: KindNews, now: Duration) {
+    pub fn apply_host_news(&mut self, news: KindNews, now: Duration) {
         self.hosts.apply_news(news, now);
     }
 
--- a/src/relay/news/feed.rs
+++ b/src/relay/news/feed.rs
@@ -134,7 +134,9 @@
                 let is_taken = self.take_list(kind, list);
                 match (age, is_taken) {
                     (ListAge::Newest, true) => self.prove(kind, asked),
-                    (ListAge::MayLag, true) => self.parts.cluster.borrow_mut().doubt(kind),
+                    (ListAge::MayLag, true) => {
+                        self.parts.cluster.borrow_mut().mark_unconfirmed(kind)
+                    }
                     // Another host has told more meanwhile.
                     (_, false) if self.held_position(kind) != held => {}
                     (ListAge::MayLag, false) => {}
@@ -172,7 +174,7 @@
         let mut gone = 0;
         loop {
             self.wanted(kind).await;
-            let before = self.parts.cluster.borrow().changes_seen();
+            let before = self.parts.cluster.borrow().backend_update_count();
             let asked = self.parts.now();
             let is_list = forgotten || !self.held_position(kind).is_known();
             match self.read_once(kind, forgotten).await {
@@ -186,7 +188,7 @@
                 }
                 Err(StoreFailure::Gone) => {
                     self.log_history_gone(kind);
-                    self.parts.cluster.borrow_mut().drop_doubted(kind);
+                    self.parts.cluster.borrow_mut().forget_unconfirmed(kind);
                     forgotten = true;
                     gone += 1;
                     if gone > 1 {
@@ -214,7 +216,7 @@
 
     // Changes that follow one another closely are read together.
     fn pause_after(&self, kind: StoreKind, before: u64) -> Duration {
-        let has_changed = self.parts.cluster.borrow().changes_seen() != before;
+        let has_changed = self.parts.cluster.borrow().backend_update_count() != before;
         match kind {
             StoreKind::Hosts => HOSTS_PAUSE,
             StoreKind::Backends if has_changed => CHANGES_PAUSE,
--- a/src/relay/news/store_news.rs
+++ b/src/relay/news/store_news.rs
@@ -47,7 +47,7 @@
                 let backends = items.into_iter().filter_map(backend_of).collect();
                 let mut cluster = self.parts.cluster.borrow_mut();
                 let is_taken = cluster.set_backends(backends, position, now);
-                cluster.note_backends_read(now);
+                cluster.record_backends_read(now);
                 drop(cluster);
                 if is_taken {
                     self.parts.publish_backends();
--- a/src/relay/news/take.rs
+++ b/src/relay/news/take.rs
@@ -34,7 +34,7 @@
         }
         let mut cluster = self.parts.cluster.borrow_mut();
         if let Some(at) = confirmed {
-            cluster.confirm_as(StoreKind::Config, at);
+            cluster.confirm_at(StoreKind::Config, at);
         }
         // The configuration in force here is the sender's or a newer one.
         if let Some(at) = proved {
@@ -46,17 +46,17 @@
         let now = self.parts.now();
         let mut cluster = self.parts.cluster.borrow_mut();
         if let Some(age) = news.outage {
-            cluster.note_outage(now.saturating_sub(age));
+            cluster.record_outage(now.saturating_sub(age));
         }
-        let before = cluster.changes_seen();
-        cluster.take_backend_news(news.backends.clone(), now);
-        cluster.take_host_news(news.hosts.clone(), now);
+        let before = cluster.backend_update_count();
+        cluster.apply_backend_news(news.backends.clone(), now);
+        cluster.apply_host_news(news.hosts.clone(), now);
         // What was the newest before the store was restored says nothing of what it holds now.
         let is_same_era = news.backends.position.era == cluster.backends_position().era;
         if let Some(at) = confirmed.filter(|_| is_same_era) {
-            cluster.confirm_as(StoreKind::Backends, at);
+            cluster.confirm_at(StoreKind::Backends, at);
         }
-        let has_changed = cluster.changes_seen() != before;
+        let has_changed = cluster.backend_update_count() != before;
         drop(cluster);
         if news.hosts.is_whole || !news.hosts.changes.is_empty() {
             self.parts.note_hosts();
--- a/src/relay/parts/publish.rs
+++ b/src/relay/parts/publish.rs
@@ -21,7 +21,7 @@
     /// Takes a configuration from the store or another host, if it is newer.
     pub fn offer_config(&self, config: RelayConfig, from: &str) {
         let version = config.version;
-        let taken = self.cluster.borrow_mut().offer_config(config);
+        let taken = self.cluster.borrow_mut().update_config(config);
         if taken {
             event::emit(
                 &event::CONFIG_IN_FORCE,
--- a/src/relay/parts/shared.rs
+++ b/src/relay/parts/shared.rs
@@ -164,7 +164,7 @@
         self.eras.note(era);
         let mut cluster = self.cluster.borrow_mut();
         let held = cluster.backends_position();
-        if let Some(before) = cluster.note_era(era, self.now()) {
+        if let Some(before) = cluster.record_era(era, self.now()) {
             event::emit(
                 &event::STORE_RESTORED,
                 &[
@@ -180,7 +180,7 @@
     /// A list was taken: perhaps the last one to be read again after the store was restored.
     pub fn note_reread(&self) {
         let mut cluster = self.cluster.borrow_mut();
-        if cluster.take_reread() {
+        if cluster.take_reread_complete() {
             event::emit(
                 &event::STORE_REREAD,
                 &[
--- a/tests/relay_decisions.rs
+++ b/tests/relay_decisions.rs
@@ -97,7 +97,7 @@
                 now += millis(10);
                 let position = StorePosition::new(u32::from(era % 4), u64::from(*revision));
                 let before = (cluster.config_version(), cluster.backends_position());
-                cluster.offer_config(config(u64::from(*version)));
+                cluster.update_config(config(u64::from(*version)));
                 match is_list {
                     true => {
                         cluster.set_backends(Vec::new(), position, now);
@@ -164,7 +164,7 @@
         let mut told = ClusterState::new(millis(1_200));
         told.change_backends(vec![listed("w-1", 2)], at(2), millis(4_300));
         told.confirm(StoreKind::Backends, millis(4_300));
-        told.note_outage(millis(ended));
+        told.record_outage(millis(ended));
         told.change_backends(gone.clone(), at(3), millis(4_600));
         assert_eq!(told.usable().len(), kept);
     }
--- a/tests/relay_history.rs
+++ b/tests/relay_history.rs
@@ -121,7 +121,7 @@
     fn follow(&mut self, reader: usize) {
         let held = self.follower.backends_position();
         let news = self.readers[reader].backend_news(held);
-        self.follower.take_backend_news(news, Duration::ZERO);
+        self.follower.apply_backend_news(news, Duration::ZERO);
         let position = self.follower.backends_position();
         assert!(position >= held, "the follower's position went back");
     }
@@ -208,7 +208,7 @@
     };
     let mut state = ClusterState::default();
     for kind in [StoreKind::Config, StoreKind::Backends] {
-        state.confirm_as(kind, news.confirmed(millis(50)).unwrap());
+        state.confirm_at(kind, news.confirmed(millis(50)).unwrap());
     }
     assert_eq!(state.age(millis(80)), Some(millis(1_810)));
 }
--- a/tests/store_restores.rs
+++ b/tests/store_restores.rs
@@ -103,7 +103,7 @@
     // A host that follows this one agrees, whether it knew the server as current or knew nothing.
     for mut follower in [state_with(&backup), ClusterState::new(HEARTBEAT)] {
         let news = state.backend_news(follower.backends_position());
-        follower.take_backend_news(news, millis(150));
+        follower.apply_backend_news(news, millis(150));
         assert!(follower.usable().is_empty());
     }
     state.expire(millis(100) + HEARTBEAT * 3);
@@ -150,7 +150,7 @@
     assert_eq!(state.hosts().cloned().collect::<Vec<_>>(), known);
     let mut follower = ClusterState::new(HEARTBEAT);
     follower.set_hosts(known.to_vec(), at(1, 50), millis(0));
-    follower.take_host_news(state.host_news(at(1, 50)), millis(150));
+    follower.apply_host_news(state.host_news(at(1, 50)), millis(150));
     for state in [&state, &follower] {
         assert!(!known.iter().any(|entry| state.is_host_listed(entry)));
     }
@@ -169,14 +169,14 @@
 #[test]
 fn a_restored_store_proves_a_configuration_only_after_lost_writes_could_be_repeated() {
     let mut state = ClusterState::new(HEARTBEAT);
-    assert_eq!(state.note_era(1, millis(0)), None);
+    assert_eq!(state.record_era(1, millis(0)), None);
     state.set_backends(Vec::new(), at(1, 50), millis(0));
     let proved = |state: &ClusterState| state.proof_age(millis(9_000));
     let prove = |state: &mut ClusterState, at: u64| {
         state.prove_config(bayplank::relay::PastTime::at(millis(at)));
     };
     prove(&mut state, 1_000);
-    assert_eq!(state.note_era(2, millis(2_000)), Some(1));
+    assert_eq!(state.record_era(2, millis(2_000)), Some(1));
     prove(&mut state, 2_500);
     assert_eq!(proved(&state), Some(millis(8_000)));
     // Knowledge of another host from before the restore.
@@ -325,7 +325,7 @@
 
     fn follow(&mut self, other: &Self, now: Duration) {
         let news = other.state.backend_news(self.state.backends_position());
-        self.step(|state| state.take_backend_news(news, now));
+        self.step(|state| state.apply_backend_news(news, now));
     }
 }
 
