--- a/src/relay/link.rs
+++ b/src/relay/link.rs
@@ -69,9 +69,9 @@
 
 /// How up to date a list has to be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ListAge {
+pub enum ListFreshness {
     /// The latest state.
-    Newest,
+    Latest,
     /// It may be a few seconds behind, at a tenth of the cost. Its position tells how far, and a watch from there
     /// delivers the later changes.
     MayLag,
@@ -109,7 +109,7 @@
 /// The future of a call to the store.
 pub type StoreCall<T> = LocalBoxFuture<'static, Result<T, StoreFailure>>;
 
-type ListCall = dyn Fn(StoreKind, ListAge) -> StoreCall<StoreList>;
+type ListCall = dyn Fn(StoreKind, ListFreshness) -> StoreCall<StoreList>;
 type WatchCall = dyn Fn(StoreKind, StorePosition, Duration) -> StoreCall<StoreChanges>;
 type GetCall = dyn Fn(StoreKind, &str) -> StoreCall<StoreItem>;
 type PutCall = dyn Fn(StoreKind, StoreItem) -> StoreCall<StorePosition>;
@@ -150,7 +150,7 @@
             eras,
         } = self;
         Self {
-            list: Box::new(move |kind, age| observed(list(kind, age), &on_list)),
+            list: Box::new(move |kind, freshness| observed(list(kind, freshness), &on_list)),
             watch: Box::new(move |kind, since, wait| observed(watch(kind, since, wait), &on_watch)),
             get: Box::new(move |kind, name| observed(get(kind, name), &on_get)),
             put: Box::new(move |kind, item| observed(put(kind, item), &on_put)),
--- a/src/relay/news/feed.rs
+++ b/src/relay/news/feed.rs
@@ -5,7 +5,7 @@
     crate::{
         event,
         relay::{
-            link::{ListAge, StoreCall, StoreChanges, StoreKind, StoreLink},
+            link::{ListFreshness, StoreCall, StoreChanges, StoreKind, StoreLink},
             parts::{metric_labels::StoreCause, shared::RelayParts},
             policy::past_time::PastTime,
             policy::{
@@ -115,10 +115,10 @@
 
     /// Reads the configuration once.
     pub async fn read_config(&self) -> Result<(), StoreFailure> {
-        self.list(StoreKind::Config, ListAge::Newest).await
+        self.list(StoreKind::Config, ListFreshness::Latest).await
     }
 
-    async fn list(&self, kind: StoreKind, age: ListAge) -> Result<(), StoreFailure> {
+    async fn list(&self, kind: StoreKind, age: ListFreshness) -> Result<(), StoreFailure> {
         let metrics = &self.parts.metrics;
         let cause = self.cause(kind, StoreCause::List);
         let asked = self.parts.now();
@@ -127,20 +127,20 @@
             Ok(list) => {
                 metrics.store_called(cause, list.calls);
                 let list = match age {
-                    ListAge::Newest => self.count_restore(kind, held, list),
-                    ListAge::MayLag => list,
+                    ListFreshness::Latest => self.count_restore(kind, held, list),
+                    ListFreshness::MayLag => list,
                 };
                 self.parts.note_store_era(list.position.era, "store");
                 let is_taken = self.take_list(kind, list);
                 match (age, is_taken) {
-                    (ListAge::Newest, true) => self.prove(kind, asked),
-                    (ListAge::MayLag, true) => {
+                    (ListFreshness::Latest, true) => self.prove(kind, asked),
+                    (ListFreshness::MayLag, true) => {
                         self.parts.cluster.borrow_mut().mark_unconfirmed(kind)
                     }
                     // Another host has told more meanwhile.
                     (_, false) if self.held_position(kind) != held => {}
-                    (ListAge::MayLag, false) => {}
-                    (ListAge::Newest, false) => {
+                    (ListFreshness::MayLag, false) => {}
+                    (ListFreshness::Latest, false) => {
                         return Err(StoreFailure::Unknown("an older list than is known".into()));
                     }
                 }
@@ -267,7 +267,7 @@
         if !held.is_known() || forgotten {
             let age = list_age(kind, forgotten);
             if kind == StoreKind::Backends {
-                self.backends_lag.set(age == ListAge::MayLag);
+                self.backends_lag.set(age == ListFreshness::MayLag);
             }
             return self.list(kind, age).await;
         }
@@ -379,9 +379,9 @@
 
 // A configuration that lags would be in force until a watch brought the newer one; and who was told that the history
 // is gone would be told so again from an old list.
-fn list_age(kind: StoreKind, forgotten: bool) -> ListAge {
+fn list_age(kind: StoreKind, forgotten: bool) -> ListFreshness {
     match kind {
-        StoreKind::Backends | StoreKind::Hosts if !forgotten => ListAge::MayLag,
-        _ => ListAge::Newest,
+        StoreKind::Backends | StoreKind::Hosts if !forgotten => ListFreshness::MayLag,
+        _ => ListFreshness::Latest,
     }
 }
