--- a/src/relay/dialect.rs
+++ b/src/relay/dialect.rs
@@ -17,7 +17,7 @@
 
 /// The metadata in the headers of a caller's request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct CallMarks {
+pub struct RequestMetadata {
     /// The caller's request id, different for each of its attempts.
     pub id: FastStr,
     /// How long the caller will wait for the response.
@@ -39,7 +39,7 @@
 
 /// The metadata in the headers of a backend server's response.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct AnswerMarks {
+pub struct ResponseMetadata {
     /// Id of the request that is answered.
     pub id: Option<FastStr>,
     /// Whether the backend server states that the request did not run.
@@ -48,9 +48,9 @@
     pub server: ServerMarks,
 }
 
-impl AnswerMarks {
+impl ResponseMetadata {
     /// Whether the response is for a different request.
-    pub fn is_anothers(&self, request: &str) -> bool {
+    pub fn is_for_other_request(&self, request: &str) -> bool {
         self.id.as_ref().is_some_and(|id| id != request)
     }
 }
@@ -87,7 +87,7 @@
 
 /// The intended backend server of a request, and the time left for it.
 #[derive(Debug, Clone, Copy)]
-pub struct CallAddress<'a> {
+pub struct RequestTarget<'a> {
     /// The intended run of the backend server; any other run declines the request.
     pub backend: &'a str,
     /// How long the caller will still wait.
@@ -188,15 +188,15 @@
 #[derive(Debug, Clone, Copy)]
 pub struct CallDialect {
     /// Reads the metadata of a caller's request.
-    pub read_call: fn(&HeaderMap) -> CallMarks,
+    pub read_request: fn(&HeaderMap) -> RequestMetadata,
     /// Removes headers that only a host may set from a caller's request.
-    pub strip_call: fn(&mut HeaderMap),
+    pub strip_request: fn(&mut HeaderMap),
     /// Sets the headers for the intended backend server, the client account and the time left.
-    pub address_call: fn(&mut HeaderMap, CallAddress<'_>),
+    pub set_target: fn(&mut HeaderMap, RequestTarget<'_>),
     /// Sets the header for the intended run of the backend server, on a call that the host makes on its own.
-    pub name_backend: fn(&mut HeaderMap, &str),
+    pub set_backend: fn(&mut HeaderMap, &str),
     /// Reads the metadata of a response.
-    pub read_answer: fn(StatusCode, &HeaderMap) -> AnswerMarks,
+    pub read_response: fn(StatusCode, &HeaderMap) -> ResponseMetadata,
     /// The additional functions for model engines.
     pub engines: EngineDialect,
 }
--- a/src/relay/objects.rs
+++ b/src/relay/objects.rs
@@ -6,7 +6,8 @@
         backend::BackendInfo,
         config::{CallerLimits, RelayConfig, RelayRoute, RelayService, ServiceShare},
         dialect::{
-            self, AnswerMarks, BackendCall, CallAddress, CallDialect, CallMarks, EngineDialect,
+            self, BackendCall, CallDialect, EngineDialect, RequestMetadata, RequestTarget,
+            ResponseMetadata,
         },
     },
     crate::{
@@ -110,18 +111,18 @@
 /// The product's own protocol for plain servers. Their services have no engines.
 pub fn server_dialect() -> CallDialect {
     CallDialect {
-        read_call,
-        strip_call: |headers| {
+        read_request,
+        strip_request: |headers| {
             headers.remove(SERVER);
         },
-        address_call,
-        name_backend,
-        read_answer,
+        set_target,
+        set_backend,
+        read_response,
         engines: no_engines(),
     }
 }
 
-fn read_call(headers: &HeaderMap) -> CallMarks {
+fn read_request(headers: &HeaderMap) -> RequestMetadata {
     let text = |name: &HeaderName| headers.get(name)?.to_str().ok();
     let left = text(&TIME_LEFT).and_then(|left| match left.parse() {
         Ok(left) => Some(Duration::from_millis(left)),
@@ -130,20 +131,20 @@
             None
         }
     });
-    CallMarks {
+    RequestMetadata {
         id: FastStr::new(text(&REQUEST_ID).unwrap_or_default()),
         time_left: left,
-        ..CallMarks::default()
+        ..RequestMetadata::default()
     }
 }
 
-fn address_call(headers: &mut HeaderMap, address: CallAddress<'_>) {
-    name_backend(headers, address.backend);
+fn set_target(headers: &mut HeaderMap, address: RequestTarget<'_>) {
+    set_backend(headers, address.backend);
     let left = address.time_left.as_millis() as u64;
     headers.insert(TIME_LEFT, HeaderValue::from(left));
 }
 
-fn name_backend(headers: &mut HeaderMap, backend: &str) {
+fn set_backend(headers: &mut HeaderMap, backend: &str) {
     match HeaderValue::from_str(backend) {
         Ok(value) => {
             headers.insert(SERVER, value);
@@ -154,9 +155,9 @@
     }
 }
 
-fn read_answer(status: StatusCode, headers: &HeaderMap) -> AnswerMarks {
+fn read_response(status: StatusCode, headers: &HeaderMap) -> ResponseMetadata {
     let text = |name: &str| headers.get(name)?.to_str().ok();
-    AnswerMarks {
+    ResponseMetadata {
         id: text(REQUEST_ID.as_str()).map(FastStr::new),
         not_run: text(VERDICT_HEADER) == Some(RunVerdict::NotRun.as_str()),
         server: dialect::read_server_marks(status, headers, &SERVER_HEADERS),
--- a/src/relay/parts/shared.rs
+++ b/src/relay/parts/shared.rs
@@ -246,7 +246,7 @@
             header::CONTENT_TYPE,
             HeaderValue::from_static("application/json"),
         );
-        (self.dialect.name_backend)(headers, &backend.id);
+        (self.dialect.set_backend)(headers, &backend.id);
         let sent = self.now();
         let answer = match purpose {
             // What is held at a server is let go also where it takes no new requests: nobody else can.
@@ -256,7 +256,7 @@
             }
             _ => self.send_to(backend, purpose, request, None).await?,
         };
-        let marks = (self.dialect.read_answer)(answer.status, &answer.headers);
+        let marks = (self.dialect.read_response)(answer.status, &answer.headers);
         self.note_marks(backend, &marks.server, AnswerKind::Other, sent);
         Ok(answer)
     }
--- a/src/relay/policy/admission.rs
+++ b/src/relay/policy/admission.rs
@@ -5,7 +5,7 @@
 
 use {
     super::line::LineKey,
-    crate::relay::dialect::CallMarks,
+    crate::relay::dialect::RequestMetadata,
     std::{ops::RangeInclusive, time::Duration},
 };
 
@@ -76,7 +76,7 @@
 
 /// Tokens of memory that a request reserves. An engine's memory fills as answers grow, and those that run are at
 /// all stages of it: reserving each whole answer would leave memory unused.
-pub fn reserved_tokens(marks: &CallMarks) -> u64 {
+pub fn reserved_tokens(marks: &RequestMetadata) -> u64 {
     let expected = marks.answer_hint.unwrap_or(marks.answer_limit / 2);
     let expected = expected.min(marks.answer_limit);
     marks.prompt_tokens + (expected as f64 * RESERVED_ANSWER) as u64
--- a/src/relay/request/call.rs
+++ b/src/relay/request/call.rs
@@ -8,7 +8,7 @@
         relay::{
             backend::BackendInfo,
             config::{CallerLimits, RelayConfig, RelayRoute},
-            dialect::{CallAddress, CallDialect, CallMarks},
+            dialect::{CallDialect, RequestMetadata, RequestTarget},
             policy::digest::RequestDigest,
         },
         web,
@@ -32,7 +32,7 @@
     /// Its whole body.
     pub body: Bytes,
     /// What it says of itself.
-    pub marks: CallMarks,
+    pub marks: RequestMetadata,
     /// Its route.
     pub route: Rc<RelayRoute>,
     /// The client account that it is for, if a key in force was shown.
@@ -126,12 +126,12 @@
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.target.parse().expect("the target of a request read");
         *request.headers_mut() = self.headers.clone();
-        let address = CallAddress {
+        let address = RequestTarget {
             backend: &backend.id,
             time_left: self.time_left(),
             account: self.account.as_ref().map(|account| account.name.as_str()),
         };
-        (dialect.address_call)(request.headers_mut(), address);
+        (dialect.set_target)(request.headers_mut(), address);
         prepare(request.headers_mut());
         request
     }
@@ -147,7 +147,7 @@
     clock: &HostClock,
 ) -> Result<RelayCall, Refusal> {
     let arrived = clock.now();
-    let marks = (dialect.read_call)(&parts.headers);
+    let marks = (dialect.read_request)(&parts.headers);
     let patience = match marks.time_left {
         Some(left) => left.min(route.time_limit),
         None => route.time_limit,
@@ -163,7 +163,7 @@
         .map_or("/", |target| target.as_str());
     let mut headers = parts.headers;
     web::strip_hop_headers(&mut headers);
-    (dialect.strip_call)(&mut headers);
+    (dialect.strip_request)(&mut headers);
     Ok(RelayCall {
         method: parts.method,
         target: target.to_owned(),
--- a/src/relay/request/decode.rs
+++ b/src/relay/request/decode.rs
@@ -68,9 +68,9 @@
         answer: PooledAnswer,
     ) -> Result<PooledAnswer, RoundFailure> {
         let parts = self.parts.clone();
-        let marks = (parts.dialect.read_answer)(answer.status, &answer.headers);
+        let marks = (parts.dialect.read_response)(answer.status, &answer.headers);
         guard.note_marks(answer.status, &marks);
-        if marks.is_anothers(&self.call.marks.id) {
+        if marks.is_for_other_request(&self.call.marks.id) {
             let detail = "an answer to another request";
             parts.note_failure(engine, BackendFailure::Broken, detail);
             let detail = format!("decode at {}: {detail}", engine.id);
--- a/src/relay/request/guard.rs
+++ b/src/relay/request/guard.rs
@@ -6,7 +6,7 @@
         event,
         relay::{
             backend::BackendInfo,
-            dialect::AnswerMarks,
+            dialect::ResponseMetadata,
             parts::{server_limits::AnswerKind, shared::RelayParts},
             policy::digest::RequestDigest,
         },
@@ -47,7 +47,7 @@
     }
 
     /// The request was answered, well or not: takes what the answer says of its server.
-    pub(super) fn note_marks(&self, status: StatusCode, marks: &AnswerMarks) {
+    pub(super) fn note_marks(&self, status: StatusCode, marks: &ResponseMetadata) {
         let kind = AnswerKind::of(status, marks.not_run);
         let parts = &self.parts;
         parts.note_marks(&self.backend, &marks.server, kind, self.sent);
--- a/src/relay/request/handler.rs
+++ b/src/relay/request/handler.rs
@@ -28,7 +28,7 @@
 pub async fn answer_caller(parts: Rc<RelayParts>, request: Request<Incoming>) -> RelayAnswer {
     let arrived = Instant::now();
     let (head, body) = request.into_parts();
-    let id = (parts.dialect.read_call)(&head.headers).id;
+    let id = (parts.dialect.read_request)(&head.headers).id;
     let path = head.uri.path().to_owned();
     let route = parts
         .routes()
@@ -71,7 +71,7 @@
     let limits = &routes.config().limits;
     check_headers(&head, limits)?;
     let route = find_route(&routes, &head)?;
-    let shown = (parts.dialect.read_call)(&head.headers).key;
+    let shown = (parts.dialect.read_request)(&head.headers).key;
     parts.identify(&route, shown)?;
     let service = routes.draw_service(&route).ok_or_else(|| {
         let text = format!("route {} leads to no service", route.name);
--- a/src/relay/request/prefill.rs
+++ b/src/relay/request/prefill.rs
@@ -188,7 +188,7 @@
     })?;
     let (status, marks) = (
         answer.status,
-        (dialect.read_answer)(answer.status, &answer.headers),
+        (dialect.read_response)(answer.status, &answer.headers),
     );
     guard.note_marks(status, &marks);
     let body = answer.body.read(ANSWER_LIMIT).await;
@@ -211,7 +211,7 @@
             detail: format!("declined with status {status}"),
         });
     }
-    let is_ours = !marks.is_anothers(&call.marks.id);
+    let is_ours = !marks.is_for_other_request(&call.marks.id);
     let cache =
         (dialect.engines.read_prefill)(&body).filter(|_| is_ours && status == StatusCode::OK);
     cache.ok_or_else(|| PrefillFailure {
--- a/src/relay/request/send.rs
+++ b/src/relay/request/send.rs
@@ -72,9 +72,9 @@
             return SendOutcome::Lost(failure.detail);
         }
     };
-    let marks = (parts.dialect.read_answer)(answer.status, &answer.headers);
+    let marks = (parts.dialect.read_response)(answer.status, &answer.headers);
     guard.note_marks(answer.status, &marks);
-    if marks.is_anothers(&call.marks.id) {
+    if marks.is_for_other_request(&call.marks.id) {
         let detail = "an answer to another request came";
         parts.note_failure(backend, BackendFailure::Broken, detail);
         return SendOutcome::Lost(detail.into());
