--- a/src/relay/dialect.rs
+++ b/src/relay/dialect.rs
@@ -120,11 +120,11 @@
 
 /// How a decode engine starts a request.
 #[derive(Debug, Clone, Default)]
-pub struct DecodeStart {
+pub struct DecodeParams {
     /// Source of the KV cache: the prefill engine's address and the cache's handle.
-    pub source: Option<(SocketAddr, FastStr)>,
+    pub cache_source: Option<(SocketAddr, FastStr)>,
     /// Handle of the memory reservation for the request.
-    pub hold: Option<FastStr>,
+    pub reservation: Option<FastStr>,
     /// Id of the last event that the caller received; the stream resumes after it.
     pub after_event: Option<FastStr>,
 }
@@ -140,16 +140,16 @@
 
 /// What to ask an engine about its prompt cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CacheQuestion {
+pub enum CacheQuery {
     /// The complete content; the engine interrupts its work to list it.
-    Whole,
+    Full,
     /// The changes from this change number on.
     Since(u64),
 }
 
 /// The complete content of an engine's prompt cache, or the changes since the last query.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct CacheNews {
+pub struct CacheUpdate {
     /// Differs after a restart of the engine.
     pub epoch: u64,
     /// The change number to query from next.
@@ -205,27 +205,27 @@
 #[derive(Debug, Clone, Copy)]
 pub struct EngineDialect {
     /// Turns a request into a prefill-only request.
-    pub as_prefill: fn(&mut HeaderMap),
+    pub prepare_prefill: fn(&mut HeaderMap),
     /// Reads the response to a prefill.
     pub read_prefill: fn(&[u8]) -> Option<PromptCache>,
     /// Turns a request into a decode request.
-    pub as_decode: fn(&mut HeaderMap, &DecodeStart),
+    pub prepare_decode: fn(&mut HeaderMap, &DecodeParams),
     /// Makes a call that reserves memory for a number of tokens, for a time.
-    pub hold: fn(u64, Duration) -> BackendCall,
+    pub reserve_memory: fn(u64, Duration) -> BackendCall,
     /// Reads the handle of a reservation.
-    pub read_hold: fn(&[u8]) -> Option<FastStr>,
+    pub read_reservation: fn(&[u8]) -> Option<FastStr>,
     /// Makes a call that releases a reservation.
-    pub drop_hold: fn(&str) -> BackendCall,
+    pub release_memory: fn(&str) -> BackendCall,
     /// Makes a call that frees a held KV cache.
     pub free_cache: fn(&str) -> BackendCall,
     /// Makes a call that queries an engine's prompt cache.
-    pub ask_cache: fn(CacheQuestion) -> BackendCall,
+    pub query_cache: fn(CacheQuery) -> BackendCall,
     /// Reads the response to that query; none if it is unusable, such as one with a gap in the changes.
-    pub read_cache: fn(CacheQuestion, &[u8]) -> Option<CacheNews>,
+    pub read_cache: fn(CacheQuery, &[u8]) -> Option<CacheUpdate>,
     /// Makes a call that asks an engine for its report.
-    pub report: fn() -> BackendCall,
+    pub query_report: fn() -> BackendCall,
     /// Reads an engine's report.
     pub read_report: fn(&[u8]) -> Option<EngineReport>,
     /// Makes a call that gives a role order.
-    pub order: fn(&RoleOrder) -> BackendCall,
+    pub order_role: fn(&RoleOrder) -> BackendCall,
 }
--- a/src/relay/objects.rs
+++ b/src/relay/objects.rs
@@ -176,17 +176,17 @@
         }
     }
     EngineDialect {
-        as_prefill: |_| {},
+        prepare_prefill: |_| {},
         read_prefill: |_| None,
-        as_decode: |_, _| {},
-        hold: |_, _| no_call(),
-        read_hold: |_| None,
-        drop_hold: |_| no_call(),
+        prepare_decode: |_, _| {},
+        reserve_memory: |_, _| no_call(),
+        read_reservation: |_| None,
+        release_memory: |_| no_call(),
         free_cache: |_| no_call(),
-        ask_cache: |_| no_call(),
+        query_cache: |_| no_call(),
         read_cache: |_, _| None,
-        report: no_call,
+        query_report: no_call,
         read_report: |_| None,
-        order: |_| no_call(),
+        order_role: |_| no_call(),
     }
 }
--- a/src/relay/policy/kept.rs
+++ b/src/relay/policy/kept.rs
@@ -10,7 +10,7 @@
 use {
     crate::relay::{
         backend::BackendInfo,
-        dialect::{CacheChange, CacheNews, CacheQuestion},
+        dialect::{CacheChange, CacheQuery, CacheUpdate},
     },
     faststr::FastStr,
     std::{collections::HashMap, time::Duration},
@@ -51,16 +51,16 @@
 
 impl KeptPrompts {
     /// What an engine is to be asked; nothing where its last answer is recent enough.
-    pub fn question(&self, engine: &str, now: Duration) -> Option<CacheQuestion> {
+    pub fn question(&self, engine: &str, now: Duration) -> Option<CacheQuery> {
         let Some(cache) = self.engines.get(engine) else {
-            return Some(CacheQuestion::Whole);
+            return Some(CacheQuery::Full);
         };
         let is_recent = now.saturating_sub(cache.told_at) < NEWS_LIFE;
-        (!is_recent).then_some(CacheQuestion::Since(cache.next))
+        (!is_recent).then_some(CacheQuery::Since(cache.next))
     }
 
     /// An engine told what it keeps.
-    pub fn take(&mut self, engine: &FastStr, news: CacheNews, now: Duration) {
+    pub fn take(&mut self, engine: &FastStr, news: CacheUpdate, now: Duration) {
         let known = self.engines.remove(engine);
         let parts = match known {
             Some(known) if known.epoch == news.epoch && !news.is_whole => known.parts,
--- a/src/relay/request/decode.rs
+++ b/src/relay/request/decode.rs
@@ -9,7 +9,7 @@
     },
     crate::{
         operation::RunVerdict,
-        relay::{backend::BackendInfo, dialect::DecodeStart, policy::view::BackendFailure},
+        relay::{backend::BackendInfo, dialect::DecodeParams, policy::view::BackendFailure},
         web::{PoolUse, PooledAnswer, SendFailure},
     },
     std::time::Duration,
@@ -30,12 +30,12 @@
     pub(super) async fn send_decode(
         &self,
         hold: &MemoryHold,
-        start: &DecodeStart,
+        start: &DecodeParams,
         guard: &CallGuard,
     ) -> Result<PooledAnswer, RoundFailure> {
         let (parts, engine) = (&self.parts, &hold.engine);
         let request = self.call.request_to(engine, &parts.dialect, |headers| {
-            (parts.dialect.engines.as_decode)(headers, start);
+            (parts.dialect.engines.prepare_decode)(headers, start);
         });
         let patience = match self.is_resumable() {
             true => RESUMABLE_HEAD_PATIENCE,
--- a/src/relay/request/prefill.rs
+++ b/src/relay/request/prefill.rs
@@ -172,7 +172,7 @@
     guard: &CallGuard,
 ) -> Result<PromptCache, PrefillFailure> {
     let dialect = &parts.dialect;
-    let request = call.request_to(engine, dialect, dialect.engines.as_prefill);
+    let request = call.request_to(engine, dialect, dialect.engines.prepare_prefill);
     let sent = parts.send_to(engine, PoolUse::Prefill, request, None).await;
     let answer = sent.map_err(|failure| {
         if failure.verdict == RunVerdict::NotRun {
--- a/src/relay/request/reserve.rs
+++ b/src/relay/request/reserve.rs
@@ -51,7 +51,7 @@
 impl Drop for EngineHold {
     fn drop(&mut self) {
         if let Some(name) = self.name.take() {
-            let call = (self.parts.dialect.engines.drop_hold)(&name);
+            let call = (self.parts.dialect.engines.release_memory)(&name);
             self.parts.clone().call_later(self.engine.clone(), call);
         }
     }
@@ -286,10 +286,10 @@
     time: Duration,
 ) -> Option<EngineHold> {
     let engines = &parts.dialect.engines;
-    let call = (engines.hold)(tokens, bounded_time(parts, engine, time));
+    let call = (engines.reserve_memory)(tokens, bounded_time(parts, engine, time));
     let answer = parts.call_backend(engine, call, HOLD_PATIENCE).await;
     let name = match answer {
-        Ok((StatusCode::OK, body)) => (engines.read_hold)(&body),
+        Ok((StatusCode::OK, body)) => (engines.read_reservation)(&body),
         // What it says of itself is noted already.
         Ok((StatusCode::SERVICE_UNAVAILABLE, _)) if !parts.may_send(engine, None) => return None,
         Ok((StatusCode::SERVICE_UNAVAILABLE, _)) => None,
--- a/src/relay/request/seek.rs
+++ b/src/relay/request/seek.rs
@@ -37,7 +37,7 @@
         return;
     };
     let engines = &parts.dialect.engines;
-    let call = (engines.ask_cache)(question);
+    let call = (engines.query_cache)(question);
     match parts.call_backend(engine, call, NEWS_PATIENCE).await {
         Ok((StatusCode::OK, body)) => {
             let news = (engines.read_cache)(question, &body);
--- a/src/relay/request/stream.rs
+++ b/src/relay/request/stream.rs
@@ -20,7 +20,7 @@
         operation::{Refusal, RefusalCode, RunVerdict},
         relay::{
             config::RequestKind,
-            dialect::DecodeStart,
+            dialect::DecodeParams,
             parts::shared::RelayParts,
             policy::{kept::KeptAt, view::BackendFailure},
         },
@@ -392,12 +392,12 @@
         }
         self.check_send()?;
         self.decodes += 1;
-        let source = cache
+        let cache_source = cache
             .as_ref()
             .and_then(|cache| Some((cache.engine.address, cache.name()?)));
-        let start = DecodeStart {
-            source,
-            hold: hold.use_up(),
+        let start = DecodeParams {
+            cache_source,
+            reservation: hold.use_up(),
             after_event: after,
         };
         let guard = CallGuard::begin(&self.parts, &hold.engine, self.call.is_suspected);
--- a/src/relay/roles/keeper.rs
+++ b/src/relay/roles/keeper.rs
@@ -227,7 +227,7 @@
     // The list of engines does not follow the count of orders taken, so the engine itself is asked.
     async fn read_report(&self, engine: &BackendInfo) -> Option<EngineReport> {
         let engines = &self.parts.dialect.engines;
-        let call = (engines.report)();
+        let call = (engines.query_report)();
         let answer = self.parts.call_backend(engine, call, ORDER_PATIENCE).await;
         match answer {
             Ok((StatusCode::OK, body)) => (engines.read_report)(&body),
@@ -265,7 +265,7 @@
             token: lease.token,
             orders_taken: report.orders_taken,
         };
-        let call = (self.parts.dialect.engines.order)(&order);
+        let call = (self.parts.dialect.engines.order_role)(&order);
         let answer = self
             .parts
             .call_backend(&change.engine, call, ORDER_PATIENCE)
--- a/tests/relay_kept.rs
+++ b/tests/relay_kept.rs
@@ -6,7 +6,7 @@
     crate::backends::backend,
     bayplank::{
         engine::EngineRole,
-        relay::{BackendInfo, CacheChange, CacheNews, CacheQuestion, KeptPrompts},
+        relay::{BackendInfo, CacheChange, CacheQuery, CacheUpdate, KeptPrompts},
     },
     faststr::FastStr,
     std::{collections::BTreeMap, time::Duration},
@@ -27,8 +27,8 @@
     }
 }
 
-fn whole(epoch: u64, next: u64, changes: Vec<CacheChange>) -> CacheNews {
-    CacheNews {
+fn whole(epoch: u64, next: u64, changes: Vec<CacheChange>) -> CacheUpdate {
+    CacheUpdate {
         epoch,
         next,
         is_whole: true,
@@ -36,8 +36,8 @@
     }
 }
 
-fn since(epoch: u64, next: u64, changes: Vec<CacheChange>) -> CacheNews {
-    CacheNews {
+fn since(epoch: u64, next: u64, changes: Vec<CacheChange>) -> CacheUpdate {
+    CacheUpdate {
         is_whole: false,
         ..whole(epoch, next, changes)
     }
@@ -47,11 +47,11 @@
 fn an_engine_is_asked_for_all_first_then_for_changes_and_not_again_at_once() {
     let mut kept = KeptPrompts::default();
     let id = FastStr::new("d-1");
-    assert_eq!(kept.question("d-1", millis(0)), Some(CacheQuestion::Whole));
+    assert_eq!(kept.question("d-1", millis(0)), Some(CacheQuery::Full));
     kept.take(&id, whole(7, 40, vec![change("p", 3_000)]), millis(5));
     assert_eq!(kept.question("d-1", millis(100)), None);
     let later = kept.question("d-1", millis(500));
-    assert_eq!(later, Some(CacheQuestion::Since(40)));
+    assert_eq!(later, Some(CacheQuery::Since(40)));
     let changes = vec![change("p", 0), change("q", 2_000)];
     kept.take(&id, since(7, 42, changes), millis(505));
     assert_eq!(kept.kept_tokens("d-1", "p"), 0, "driven out meanwhile");
@@ -66,11 +66,7 @@
     kept.take(&id, since(8, 2, vec![change("q", 10)]), millis(500));
     assert_eq!(kept.kept_tokens("d-1", "p"), 0);
     let question = kept.question("d-1", millis(501));
-    assert_eq!(
-        question,
-        Some(CacheQuestion::Whole),
-        "its list is not known"
-    );
+    assert_eq!(question, Some(CacheQuery::Full), "its list is not known");
 }
 
 #[test]
