--- a/src/host/passing.rs
+++ b/src/host/passing.rs
@@ -99,8 +99,8 @@
         traffic.clock.clone(),
         Rc::default(),
     );
-    relay::spawn_vital("objects in force", follow(traffic.clone(), parts.clone()));
-    relay::spawn_vital("metrics", show_metrics(traffic.clone(), parts.clone()));
+    relay::spawn_critical("objects in force", follow(traffic.clone(), parts.clone()));
+    relay::spawn_critical("metrics", show_metrics(traffic.clone(), parts.clone()));
     let handler: web::IngressHandler =
         Rc::new(move |request| relay::answer_caller(parts.clone(), request).boxed_local());
     let limits = Rc::new(IngressLimits {
--- a/src/relay/host.rs
+++ b/src/relay/host.rs
@@ -3,6 +3,7 @@
 use {
     super::{
         config::CallerLimits,
+        critical_task,
         dialect::CallDialect,
         figures,
         link::{StoreKind, StoreLink},
@@ -23,7 +24,6 @@
         },
         roles::keeper,
         settings::RelaySettings,
-        vital,
     },
     crate::{
         clock::HostClock,
@@ -119,13 +119,13 @@
             checks_closing: Arc::default(),
         };
         host.start_news_exchange(peers);
-        vital::spawn_vital(
+        critical_task::spawn_critical(
             "host entry",
             entry::keep_entry(parts.clone(), store.clone()),
         );
-        vital::spawn_vital("figures", figures::log_figures(parts.clone()));
-        vital::spawn_vital("availability", check_availability(parts.clone()));
-        vital::spawn_vital("engine roles", keeper::keep_roles(parts, store));
+        critical_task::spawn_critical("figures", figures::log_figures(parts.clone()));
+        critical_task::spawn_critical("availability", check_availability(parts.clone()));
+        critical_task::spawn_critical("engine roles", keeper::keep_roles(parts, store));
         host.serve(callers, host.caller_handler(), host.closing.clone());
         host.serve(checks, host.check_handler(), host.checks_closing.clone());
         if let Some(metrics) = metrics {
@@ -160,7 +160,7 @@
             news: Box::new(move |held| news::tell_news(parts.clone(), held).boxed_local()),
             loads: Box::new(move |reporter, loads, view| share.answer(reporter, loads, view)),
         };
-        vital::spawn_vital(
+        critical_task::spawn_critical(
             "host requests",
             news::serve_news(listener, answers, metrics),
         );
@@ -172,8 +172,8 @@
             silence_limit: CALLER_ACK_TIMEOUT,
         });
         let serving = web::serve_callers(listener, handler, limits.clone(), closing);
-        vital::spawn_vital("callers", serving);
-        vital::spawn_vital("limits", apply_limit_changes(self.parts.clone(), limits));
+        critical_task::spawn_critical("callers", serving);
+        critical_task::spawn_critical("limits", apply_limit_changes(self.parts.clone(), limits));
     }
 
     fn caller_handler(&self) -> IngressHandler {
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -4,6 +4,7 @@
 mod backend;
 mod belief;
 mod config;
+mod critical_task;
 mod dialect;
 mod figures;
 mod host;
@@ -15,9 +16,8 @@
 mod request;
 mod roles;
 mod settings;
-mod vital;
 
 pub use self::{
-    backend::*, belief::*, config::*, dialect::*, host::*, link::*, news::*, objects::*, parts::*,
-    policy::*, request::*, roles::*, settings::*, vital::*,
+    backend::*, belief::*, config::*, critical_task::*, dialect::*, host::*, link::*, news::*,
+    objects::*, parts::*, policy::*, request::*, roles::*, settings::*,
 };
--- a/src/relay/news/feed.rs
+++ b/src/relay/news/feed.rs
@@ -5,6 +5,7 @@
     crate::{
         event,
         relay::{
+            critical_task,
             link::{ListFreshness, StoreCall, StoreChanges, StoreKind, StoreLink},
             parts::{metric_labels::StoreCause, shared::RelayParts},
             policy::past_time::PastTime,
@@ -12,7 +13,6 @@
                 pauses::{FOLLOWER_PAUSES, READER_PAUSES, StorePauses},
                 source::old_news,
             },
-            vital,
         },
         store::{StoreFailure, StorePosition},
     },
@@ -78,10 +78,10 @@
             backends_lag: Cell::new(false),
             logged: LoggedPlaces::default(),
         });
-        vital::spawn_vital("configuration", feed.clone().follow(StoreKind::Config));
-        vital::spawn_vital("backend servers", feed.clone().follow(StoreKind::Backends));
-        vital::spawn_vital("hosts", feed.clone().follow(StoreKind::Hosts));
-        vital::spawn_vital("lapsed entries", feed.clone().expire());
+        critical_task::spawn_critical("configuration", feed.clone().follow(StoreKind::Config));
+        critical_task::spawn_critical("backend servers", feed.clone().follow(StoreKind::Backends));
+        critical_task::spawn_critical("hosts", feed.clone().follow(StoreKind::Hosts));
+        critical_task::spawn_critical("lapsed entries", feed.clone().expire());
         feed
     }
 
--- a/src/relay/news/findings.rs
+++ b/src/relay/news/findings.rs
@@ -8,6 +8,7 @@
     crate::{
         peer,
         relay::{
+            critical_task,
             link::HostEntry,
             parts::shared::RelayParts,
             policy::{
@@ -15,7 +16,6 @@
                 findings_cache::MarkSource,
                 shared_findings::{SharedFindings, SharedRevisions},
             },
-            vital,
         },
     },
     faststr::FastStr,
@@ -92,8 +92,8 @@
         share.parts.crashes.set_trial_ask(Rc::new(move |digest| {
             asking.clone().ask_trial(digest).boxed_local()
         }));
-        vital::spawn_vital("findings", share.clone().run());
-        vital::spawn_vital("learning others' findings", share.clone().learn());
+        critical_task::spawn_critical("findings", share.clone().run());
+        critical_task::spawn_critical("learning others' findings", share.clone().learn());
         share
     }
 
--- a/src/relay/news/follow.rs
+++ b/src/relay/news/follow.rs
@@ -10,11 +10,11 @@
     crate::{
         event,
         relay::{
+            critical_task,
             link::HostEntry,
             parts::shared::RelayParts,
             policy::past_time::PastTime,
             policy::source::{self, NewsSource, SourceChoice, SourceRules},
-            vital,
         },
         store::StorePosition,
     },
@@ -104,8 +104,8 @@
             newer: Notify::new(),
             served: Notify::new(),
         });
-        vital::spawn_vital("news", follower.clone().run());
-        vital::spawn_vital("changes told", follower.clone().tell_changes());
+        critical_task::spawn_critical("news", follower.clone().run());
+        critical_task::spawn_critical("changes told", follower.clone().tell_changes());
         follower
     }
 
--- a/src/relay/news/permits.rs
+++ b/src/relay/news/permits.rs
@@ -3,10 +3,10 @@
 use {
     super::link::NewsLinks,
     crate::relay::{
+        critical_task,
         link::HostEntry,
         parts::shared::RelayParts,
         policy::permit_allocator::{PermitGrant, PermitRequest},
-        vital,
     },
     capnp::ErrorKind,
     faststr::FastStr,
@@ -42,7 +42,7 @@
             parts: parts.clone(),
             links,
         });
-        vital::spawn_vital("limits of servers", link.clone().forget_old());
+        critical_task::spawn_critical("limits of servers", link.clone().forget_old());
         let asking = link.clone();
         let call = move |zone, ask| asking.clone().ask(zone, ask).boxed_local();
         parts.permits.set_call(Rc::new(call));
--- a/src/relay/news/settle.rs
+++ b/src/relay/news/settle.rs
@@ -5,9 +5,9 @@
     crate::{
         account::LedgerSums,
         relay::{
+            critical_task,
             link::HostEntry,
             parts::{accounts::LedgerAsk, shared::RelayParts},
-            vital,
         },
     },
     futures::{FutureExt, future},
@@ -42,8 +42,8 @@
             targets: ZoneTargets::default(),
         });
         link.parts.accounts.set_ask(link.clone().ledger_ask());
-        vital::spawn_vital("zones of the ledger", link.clone().follow_zones());
-        vital::spawn_vital("ledger of accounts", link.run());
+        critical_task::spawn_critical("zones of the ledger", link.clone().follow_zones());
+        critical_task::spawn_critical("ledger of accounts", link.run());
     }
 
     // Which zones there are is known to the books as soon as to the host: what is left of a limit depends on it.
--- a/src/relay/news/share.rs
+++ b/src/relay/news/share.rs
@@ -5,10 +5,10 @@
     crate::{
         account::UseReport,
         relay::{
+            critical_task,
             link::HostEntry,
             parts::shared::RelayParts,
             policy::loads::{LoadBoard, LoadReport, LoadReporter},
-            vital,
         },
     },
     std::{cell::RefCell, rc::Rc, time::Duration},
@@ -62,7 +62,7 @@
             board: RefCell::default(),
             targets: ZoneTargets::default(),
         });
-        vital::spawn_vital("loads", share.clone().run());
+        critical_task::spawn_critical("loads", share.clone().run());
         share
     }
 
