--- a/src/host/passing.rs
+++ b/src/host/passing.rs
@@ -125,7 +125,7 @@
         peers: settings.peers,
         seeds: Vec::new(),
         first_start: false,
-        strength: 0,
+        link_mbps: 0,
         store: settings.platform,
         requests_limit: settings.concurrent,
         pool: PoolSettings {
@@ -201,7 +201,7 @@
         name: name.clone(),
         zone: zone.clone(),
         peers: address,
-        strength: 0,
+        link_mbps: 0,
     }
 }
 
--- a/src/relay/link.rs
+++ b/src/relay/link.rs
@@ -35,8 +35,8 @@
     /// The address that other hosts connect to.
     pub peers: SocketAddr,
     /// The host's capacity to serve other hosts: its link bandwidth in Mbit/s, 0 if unknown.
-    #[serde(default)]
-    pub strength: u32,
+    #[serde(default, rename = "strength")]
+    pub link_mbps: u32,
     /// Requests that crash their servers, as first identified by this host.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub judged: Vec<KeptJudgement>,
--- a/src/relay/news/entry.rs
+++ b/src/relay/news/entry.rs
@@ -82,7 +82,7 @@
         name: settings.name.clone(),
         zone: settings.zone.clone(),
         peers: settings.peers,
-        strength: settings.strength,
+        link_mbps: settings.link_mbps,
         judged: parts.kept_judgements(),
     }
 }
--- a/src/relay/policy/source.rs
+++ b/src/relay/policy/source.rs
@@ -75,7 +75,7 @@
 /// Sorts the hosts of a zone into the order in which they are to read the store for it: the strongest first,
 /// since they answer all others, and by draw among equals.
 pub fn sort_readers(entries: &mut [HostEntry], zone: &str) {
-    entries.sort_by_key(|entry| Reverse((entry.strength, peer::draw(&entry.name, zone))));
+    entries.sort_by_key(|entry| Reverse((entry.link_mbps, peer::draw(&entry.name, zone))));
 }
 
 /// Where to get news from.
@@ -386,7 +386,7 @@
 
 // Zones in an order that does not depend on which of their hosts is the head.
 fn head_rank(entry: &HostEntry) -> Reverse<(u32, u64)> {
-    Reverse((entry.strength, peer::draw(&entry.zone, "readers")))
+    Reverse((entry.link_mbps, peer::draw(&entry.zone, "readers")))
 }
 
 fn by_zone(hosts: impl Iterator<Item = HostEntry>) -> BTreeMap<FastStr, Vec<HostEntry>> {
--- a/src/relay/settings.rs
+++ b/src/relay/settings.rs
@@ -33,7 +33,7 @@
     /// Whether the whole fleet starts for the first time, so that the store has no host entries yet.
     pub first_start: bool,
     /// The host's capacity to serve other hosts: its link bandwidth in Mbit/s, 0 if unknown.
-    pub strength: u32,
+    pub link_mbps: u32,
     /// The store's address.
     pub store: SocketAddr,
     /// Maximum number of concurrent requests.
--- a/tests/fleet_sim/mod.rs
+++ b/tests/fleet_sim/mod.rs
@@ -96,7 +96,7 @@
                 zone: FastStr::new(zone),
                 peers: "127.0.0.1:9".parse().unwrap(),
                 // The first of each zone is its head.
-                strength: [300, 200, 200].get(index).copied().unwrap_or(20),
+                link_mbps: [300, 200, 200].get(index).copied().unwrap_or(20),
             });
         }
     }
--- a/tests/permit_sim/mod.rs
+++ b/tests/permit_sim/mod.rs
@@ -104,7 +104,7 @@
                 name: FastStr::from_string(format!("host-{index}")),
                 zone: zone(index),
                 peers: ([127, 0, 0, 1], index as u16).into(),
-                strength: 0,
+                link_mbps: 0,
             },
             is_up: true,
             side: 0,
--- a/tests/relay_news.rs
+++ b/tests/relay_news.rs
@@ -22,7 +22,7 @@
         name: FastStr::new(name),
         zone: zone.into(),
         peers: "127.0.0.1:9".parse().unwrap(),
-        strength: 0,
+        link_mbps: 0,
     }
 }
 
@@ -121,7 +121,7 @@
 fn the_strongest_hosts_read_for_the_others() {
     let mut hosts = zone(30);
     for (index, entry) in hosts.iter_mut().enumerate() {
-        entry.strength = if index % 10 == 3 { 200 } else { 10 };
+        entry.link_mbps = if index % 10 == 3 { 200 } else { 10 };
     }
     let followed = followed(&hosts, millis(9_000));
     for name in readers(&hosts, Duration::ZERO)
--- a/tests/store_restores.rs
+++ b/tests/store_restores.rs
@@ -131,12 +131,12 @@
     assert!(state.usable().is_empty());
 }
 
-fn host(name: &str, strength: u32) -> HostEntry {
+fn host(name: &str, link_mbps: u32) -> HostEntry {
     HostEntry {
         name: FastStr::new(name),
         zone: "z-a".into(),
         peers: "127.0.0.1:1".parse().expect("an address"),
-        strength,
+        link_mbps,
         judged: Vec::new(),
     }
 }
