--- a/src/relay/belief/mod.rs
+++ b/src/relay/cluster/mod.rs
@@ -2,8 +2,8 @@
 //! hosts lack. Plain state: how hosts exchange it is implemented in `news`.
 
 mod backend_list;
-pub(crate) mod cluster;
 pub(crate) mod history;
 mod host_list;
+pub(crate) mod state;
 
-pub use self::{backend_list::*, cluster::*, history::*, host_list::*};
+pub use self::{backend_list::*, history::*, host_list::*, state::*};
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -2,7 +2,7 @@
 //! of failures.
 
 mod backend;
-mod belief;
+mod cluster;
 mod config;
 mod critical_task;
 mod dialect;
@@ -18,6 +18,6 @@
 mod settings;
 
 pub use self::{
-    backend::*, belief::*, config::*, critical_task::*, dialect::*, host::*, link::*, news::*,
+    backend::*, cluster::*, config::*, critical_task::*, dialect::*, host::*, link::*, news::*,
     objects::*, parts::*, policy::*, request::*, roles::*, settings::*,
 };
--- a/src/relay/news/message.rs
+++ b/src/relay/news/message.rs
@@ -6,7 +6,7 @@
         account::{AccountKey, AccountUse, LedgerSums, NearAccount, UseReport},
         news_capnp::{account_use, cluster_news, held_news, kind_news, ledger_sums, load_report},
         relay::{
-            belief::history::KindNews,
+            cluster::history::KindNews,
             config::RelayConfig,
             link::HostEntry,
             policy::{
--- a/src/relay/news/targets.rs
+++ b/src/relay/news/targets.rs
@@ -1,7 +1,7 @@
 //! Which host of each availability zone is told what concerns its zone.
 
 use {
-    crate::relay::{belief::cluster::ClusterState, link::HostEntry, policy::source},
+    crate::relay::{cluster::state::ClusterState, link::HostEntry, policy::source},
     faststr::FastStr,
     std::{cell::RefCell, collections::BTreeMap, time::Duration},
 };
--- a/src/relay/parts/shared.rs
+++ b/src/relay/parts/shared.rs
@@ -18,7 +18,7 @@
         operation::RunVerdict,
         relay::{
             backend::BackendInfo,
-            belief::cluster::ClusterState,
+            cluster::state::ClusterState,
             dialect::{BackendCall, CallDialect},
             policy::{
                 book::BackendBook, budget::WindowBudget, kept::KeptPrompts, limit_book::LimitBook,
