--- a/src/relay/cluster/backend_list.rs
+++ b/src/relay/cluster/backend_list.rs
@@ -97,7 +97,7 @@
     }
 
     /// Replaces the list by that of a position, unless a newer one is known. `departed` are the runs that the sender
-    /// knows to have departed or to be leaving; `had_outage` tells that entries may have expired during a store outage.
+    /// knows to have departed or to be leaving; `had_outage` tells whether entries may have expired in a store outage.
     pub fn set(
         &mut self,
         list: Vec<BackendInfo>,
--- a/src/relay/figures.rs
+++ b/src/relay/figures.rs
@@ -1,5 +1,5 @@
-//! Logs the host's counters periodically, so that the logs of hundreds of hosts show who called whom and how often
-//! without a line for each call.
+//! Logs the host's counters periodically, so that the logs of hundreds of hosts show which calls were made, and how
+//! often, without a line for each call.
 
 use {
     super::parts::{metric_labels::StoreCause, shared::RelayParts},
--- a/tests/relay_history.rs
+++ b/tests/relay_history.rs
@@ -175,7 +175,7 @@
             let mut views = [PastTime::at(Duration::ZERO); 5];
             let mut now = 10_000;
             for (pair, request, response) in queries {
-                let (sender, receiver) = (usize::from(pair % 5), usize::from(pair / 5 % 5));
+                let (querier, queried) = (usize::from(pair % 5), usize::from(pair / 5 % 5));
                 let (request_delay, hold, response_delay) = (
                     u64::from(*request),
                     u64::from(pair % 3) * 100,
@@ -183,11 +183,11 @@
                 );
                 let answered_at = now + request_delay + hold;
                 let news = ClusterNews {
-                    age: Some(views[receiver].age(millis(answered_at))),
+                    age: Some(views[queried].age(millis(answered_at))),
                     held: millis(hold),
                     ..ClusterNews::default()
                 };
-                views[sender] = views[sender].max(news.confirmed(millis(now)).unwrap());
+                views[querier] = views[querier].max(news.confirmed(millis(now)).unwrap());
                 now = answered_at + response_delay;
                 let newest = views.iter().max().copied();
                 assert_eq!(
