--- a/src/relay/parts/accounts.rs
+++ b/src/relay/parts/accounts.rs
@@ -1,4 +1,4 @@
-//! Client accounts at this host: whose a request is, and whether it fits into the account's limit.
+//! Client accounts: authenticates requests by API key and enforces the rate limit of each account.
 
 use {
     super::{metric_labels::LimitEnd, shared::RelayParts},
@@ -16,42 +16,43 @@
     std::{cell::RefCell, collections::BTreeSet, fmt, ops::RangeInclusive, rc::Rc, time::Duration},
 };
 
-/// When a caller is to come back to a host that cannot say whether its key is in force: others may know, and this one
-/// hears of the store again within a second or two. Spread, since all callers of the host are told so.
-const COME_BACK_UNSURE: RangeInclusive<Duration> =
+/// Retry delay for callers whose key this host cannot verify. Other hosts may be able to, and this one usually reaches
+/// the store again within one or two seconds. Random, because every caller of the host is refused at the same time.
+const UNVERIFIED_KEY_RETRY: RangeInclusive<Duration> =
     Duration::from_millis(300)..=Duration::from_millis(900);
 
-/// Part of the wait that a caller over its limit is told, added by draw: those that were refused in the same
-/// moment come back one after the other.
-const WAIT_SPREAD: f64 = 0.2;
+/// Random addition to the retry delay of a caller over its limit, as a fraction of the delay, so that callers refused at
+/// the same moment don't retry together.
+const RETRY_JITTER: f64 = 0.2;
 
-/// Part of a request's latency target for which the ledger's answer is waited for, and the most: it comes within
-/// milliseconds, and a guess is not much worse.
-const ASK_SHARE: f64 = 0.2;
-const ASK_LONGEST: Duration = Duration::from_millis(120);
+/// Timeout of a query to the zone's ledger: a fraction of the request's latency target, up to a maximum. The ledger
+/// usually answers within milliseconds, and admission by estimate is not much worse.
+const QUERY_TIMEOUT_PART: f64 = 0.2;
+const QUERY_TIMEOUT_MAX: Duration = Duration::from_millis(120);
 
-/// Hosts of the zone that one which was told nothing asks in turn. After all hosts were killed and the first of each zone
-/// stayed dark, each host would guess for its first requests: 0.68 to 0.74 of them were let in untold, none with a
-/// second question (100 requests, three runs of a test).
-const OWNERS_ASKED: usize = 2;
+/// Number of hosts that a host without ledger data queries in turn. When all hosts are killed and the first host of each
+/// zone stays down, a single query leaves a restarted host to estimate for its first requests: 0.68 to 0.74 of them
+/// were admitted without ledger data, and none with a second query (100 requests, three runs of a test).
+const LEDGER_QUERY_ATTEMPTS: usize = 2;
 
-/// What a ledger answers: let in, or when to come back; none where it did not answer.
+/// A ledger's decision on a charge: admitted, or the delay before a retry. `None` if the ledger did not answer.
 pub type ChargeAnswer = Option<Result<(), Duration>>;
 
-/// Asks the host that keeps the zone's books; gives nothing where that is this one or is not known.
+/// Queries the host that owns the zone's ledger; `None` if that is this host or if the owner is unknown.
 pub type LedgerAsk =
     dyn Fn(AccountKey, u32, Duration) -> Option<LocalBoxFuture<'static, ChargeAnswer>>;
 
-/// Units that were charged for a request.
+/// The units charged to an account for a request.
 #[derive(Debug, Clone, Copy)]
 pub struct UseCharge {
     account: AccountKey,
     units: f64,
 }
 
-/// The use of client accounts, as far as this host has to do with it.
+/// This host's state of account limits: its allowances, the ledger that it keeps for the zone, and how to query the
+/// host that owns the zone's ledger.
 pub struct AccountGate {
-    desk: RefCell<AllowanceDesk>,
+    allowances: RefCell<AllowanceDesk>,
     ledger: RefCell<ZoneLedger>,
     ask: RefCell<Option<Rc<LedgerAsk>>>,
 }
@@ -65,20 +66,20 @@
 impl AccountGate {
     pub(super) fn new(ledger: ZoneLedger) -> Self {
         Self {
-            desk: RefCell::default(),
+            allowances: RefCell::default(),
             ledger: RefCell::new(ledger),
             ask: RefCell::default(),
         }
     }
 
-    /// Takes the way to the zone's ledger.
+    /// Sets the function that queries the owner of the zone's ledger.
     pub fn set_ask(&self, ask: Rc<LedgerAsk>) {
         *self.ask.borrow_mut() = Some(ask);
     }
 }
 
 impl RelayParts {
-    /// The account that a request is for, by the key that it shows; none where none is needed.
+    /// Returns the account that the request's key belongs to; `None` if the route needs no account.
     pub fn identify(
         &self,
         route: &RelayRoute,
@@ -94,28 +95,29 @@
                 let is_proved = life.is_none_or(|life| proof.is_some_and(|age| age < life));
                 assert!(
                     is_proved || route.is_public,
-                    "keys that may have been taken away open nothing"
+                    "a key that may have been revoked gives no access"
                 );
                 Ok(Some(account))
             }
             KeyStanding::Open => Ok(None),
             KeyStanding::Unknown => Err(Refusal::not_run(
                 RefusalCode::UnknownCaller,
-                "no key in force was shown",
+                "the request has no valid API key",
             )),
             KeyStanding::Unsure => {
                 self.metrics.unsure_keys.inc();
                 let age = proof.map_or(-1, |age| age.as_millis() as i64);
                 let text = format!(
-                    "this host cannot tell whether the key is in force; it was sure {age} ms ago"
+                    "this host cannot verify the key: its configuration was last confirmed {age} ms ago"
                 );
                 let refusal = Refusal::not_run(RefusalCode::NotConfigured, text);
-                Err(refusal.after(rand::rng().random_range(COME_BACK_UNSURE)))
+                Err(refusal.after(rand::rng().random_range(UNVERIFIED_KEY_RETRY)))
             }
         }
     }
 
-    /// Lets a request of so many tokens in if it fits into its account's limit.
+    /// Charges a request of `tokens` tokens to its account, or refuses it if the account is over its limit. `target` is
+    /// the latency target of the request. Returns `None` if the account has no limit.
     pub async fn let_in(
         &self,
         account: &ClientAccount,
@@ -131,68 +133,68 @@
         };
         let choice = self
             .accounts
-            .desk
+            .allowances
             .borrow()
             .choose(charge.account, self.now());
-        let is_let_in = match choice {
-            UseChoice::Free => self.guess(charge, 1.0),
-            UseChoice::Guess(share) => self.guess(charge, share),
-            UseChoice::Ask => match self.ask_ledger(charge, limit, target).await {
+        let admission = match choice {
+            UseChoice::Free => self.admit_by_share(charge, 1.0),
+            UseChoice::Guess(share) => self.admit_by_share(charge, share),
+            UseChoice::Ask => match self.query_ledger(charge, limit, target).await {
                 Ok(answer) => answer,
-                Err(share) => self.guess(charge, share),
+                Err(share) => self.admit_by_share(charge, share),
             },
         };
-        let end = match is_let_in {
+        let end = match admission {
             Ok(()) => LimitEnd::LetIn,
             Err(_) => LimitEnd::OverLimit,
         };
         self.metrics.limited(&account.name, charge.units, end);
-        match is_let_in {
+        match admission {
             Ok(()) => Ok(Some(charge)),
             Err(wait) => Err(self.over_limit(account, wait)),
         }
     }
 
     fn over_limit(&self, account: &ClientAccount, wait: Duration) -> Refusal {
-        let spread = rand::random_range(1.0..=1.0 + WAIT_SPREAD);
+        let spread = rand::random_range(1.0..=1.0 + RETRY_JITTER);
         let text = format!("account {} is over its limit", account.name);
         Refusal::not_run(RefusalCode::OverLimit, text).after(wait.mul_f64(spread))
     }
 
-    // Without the ledger: this share of requests is let in.
-    fn guess(&self, charge: UseCharge, share: f64) -> Result<(), Duration> {
-        let is_let_in = rand::random_bool(share.clamp(0.0, 1.0));
-        let mut desk = self.accounts.desk.borrow_mut();
-        desk.note(charge.account, charge.units, is_let_in);
-        match is_let_in {
+    // Admits a fraction `share` of requests at random, without the ledger.
+    fn admit_by_share(&self, charge: UseCharge, share: f64) -> Result<(), Duration> {
+        let is_admitted = rand::random_bool(share.clamp(0.0, 1.0));
+        let mut allowances = self.accounts.allowances.borrow_mut();
+        allowances.note(charge.account, charge.units, is_admitted);
+        match is_admitted {
             true => Ok(()),
             false => Err(Duration::from_secs(1)),
         }
     }
 
-    // What the ledger says; where it is silent, the share to guess by.
-    async fn ask_ledger(
+    // Returns the ledger's decision. If the ledger does not answer, the error is the fraction of requests to admit.
+    async fn query_ledger(
         &self,
         charge: UseCharge,
         limit: AccountLimit,
         target: Duration,
     ) -> Result<Result<(), Duration>, f64> {
-        let patience = target.mul_f64(ASK_SHARE).min(ASK_LONGEST);
-        let is_untold = self.accounts.desk.borrow().is_untold();
-        let keepers = if is_untold { OWNERS_ASKED } else { 1 };
-        for _ in 0..keepers {
-            let asked = self.ask_owner(charge, limit, patience).await?;
+        let patience = target.mul_f64(QUERY_TIMEOUT_PART).min(QUERY_TIMEOUT_MAX);
+        let is_untold = self.accounts.allowances.borrow().is_untold();
+        let attempts = if is_untold { LEDGER_QUERY_ATTEMPTS } else { 1 };
+        for _ in 0..attempts {
+            let asked = self.query_ledger_owner(charge, limit, patience).await?;
             if let Some(answer) = asked {
                 return Ok(answer);
             }
         }
-        let mut desk = self.accounts.desk.borrow_mut();
-        desk.note_silent(self.now());
-        Err(desk.guessed_share(charge.account))
+        let mut allowances = self.accounts.allowances.borrow_mut();
+        allowances.note_silent(self.now());
+        Err(allowances.guessed_share(charge.account))
     }
 
-    // Asks whoever keeps the zone's books now; none where that one does not answer.
-    async fn ask_owner(
+    // Queries the current owner of the zone's ledger; `None` if it does not answer.
+    async fn query_ledger_owner(
         &self,
         charge: UseCharge,
         limit: AccountLimit,
@@ -200,11 +202,16 @@
     ) -> Result<ChargeAnswer, f64> {
         let ask = self.accounts.ask.borrow().clone();
         let units = charge.units.round() as u32;
-        let asking = ask.and_then(|ask| ask(charge.account, units, patience));
-        let Some(asking) = asking else {
-            // Any host may keep the zone's books: each of them would let in what is left of a limit.
+        let query = ask.and_then(|ask| ask(charge.account, units, patience));
+        let Some(query) = query else {
+            // While the hosts are unknown, any of them may own the ledger: if each decided by its own copy, each would
+            // admit the whole remainder of a limit.
             if !self.cluster.borrow().hosts_position().is_known() {
-                return Err(self.accounts.desk.borrow().guessed_share(charge.account));
+                return Err(self
+                    .accounts
+                    .allowances
+                    .borrow()
+                    .guessed_share(charge.account));
             }
             let now = self.now();
             let mut ledger = self.accounts.ledger.borrow_mut();
@@ -217,52 +224,52 @@
             )));
         };
         self.metrics.ledger_asks.inc();
-        let answer = asking.await;
+        let answer = query.await;
         if answer.is_none() {
             self.metrics.ledger_silences.inc();
         }
         Ok(answer)
     }
 
-    /// Whether this host was told nothing yet of the use of accounts.
+    /// Returns whether this host has received no data on the use of accounts yet.
     pub fn is_untold_of_use(&self) -> bool {
-        self.accounts.desk.borrow().is_untold()
+        self.accounts.allowances.borrow().is_untold()
     }
 
-    /// A request that was let in has certainly not run.
+    /// Refunds the charge for a request that was admitted but certainly did not run.
     pub fn give_back(&self, account: &FastStr, charge: UseCharge) {
         self.metrics
             .limited(account, charge.units, LimitEnd::GivenBack);
-        let mut desk = self.accounts.desk.borrow_mut();
-        desk.give_back(charge.account, charge.units);
+        let mut allowances = self.accounts.allowances.borrow_mut();
+        allowances.give_back(charge.account, charge.units);
     }
 
-    /// What this host let in by itself since it last told.
+    /// Takes the units that this host admitted without the ledger since its last report.
     pub fn untold_uses(&self) -> Vec<AccountUse> {
-        self.accounts.desk.borrow_mut().take_untold()
+        self.accounts.allowances.borrow_mut().take_untold()
     }
 
-    /// What was to be told did not arrive.
+    /// Puts back units from a report that was not delivered.
     pub fn put_back_uses(&self, uses: Vec<AccountUse>) {
-        self.accounts.desk.borrow_mut().put_back(uses);
+        self.accounts.allowances.borrow_mut().put_back(uses);
     }
 
-    /// Takes what the zone's ledger tells of accounts.
+    /// Applies a report from the owner of the zone's ledger.
     pub fn take_near(&self, report: &UseReport) {
-        let mut desk = self.accounts.desk.borrow_mut();
-        desk.set_near(report.near.as_deref(), self.now());
+        let mut allowances = self.accounts.allowances.borrow_mut();
+        allowances.set_near(report.near.as_deref(), self.now());
     }
 }
 
-/// Calls of `work` are made with the accounts in force; nothing is done where there are none.
+/// Calls `work` with the accounts of the active configuration, if it has any.
 fn with_accounts<T>(parts: &RelayParts, work: impl FnOnce(&AccountDirectory) -> T) -> Option<T> {
     let routes = parts.routes()?;
     routes.accounts().map(work)
 }
 
 impl RelayParts {
-    /// Keeps the books for another host of the zone, or for this one: what it let in goes in, which accounts it is to
-    /// ask for comes out.
+    /// Records in the ledger the units that a host of the zone admitted by itself, and returns the accounts near their
+    /// limits, for which that host must query the ledger. The host may be this one.
     pub fn answer_uses(&self, uses: &[AccountUse]) -> UseReport {
         let now = self.now();
         let near = with_accounts(self, |accounts| {
@@ -283,10 +290,11 @@
         }
     }
 
-    /// Answers a host that asks for a request's units; none where this host does not know the account or its limit.
+    /// Charges units for another host's request; `None` if this host does not know the account or its limit.
     ///
-    /// Hosts that start ask before those that they ask know any account. Let in unwritten, that was a million units of a limit
-    /// of a thousand a second at once (platform/tests/on_platform/accounts.rs).
+    /// Starting hosts query hosts that may not know any account yet. Admitting those requests without recording them let
+    /// through a million units at once under a limit of a thousand per second
+    /// (platform/tests/on_platform/accounts.rs).
     pub fn answer_charge(&self, account: AccountKey, units: u32) -> Option<Result<(), Duration>> {
         let now = self.now();
         let answer = with_accounts(self, |accounts| {
@@ -298,7 +306,7 @@
         answer.flatten()
     }
 
-    /// Takes the sums of another ledger; gives this host's, and those that it heard lately.
+    /// Merges the sums of another ledger; returns this host's own and those it received recently.
     pub fn answer_sums(&self, theirs: &LedgerSums) -> Vec<LedgerSums> {
         let now = self.now();
         let near = self.near_accounts();
@@ -313,7 +321,7 @@
         answer.unwrap_or_default()
     }
 
-    /// Takes the sums of other ledgers.
+    /// Merges the sums of other ledgers.
     pub fn take_sums(&self, all: &[LedgerSums]) {
         let now = self.now();
         with_accounts(self, |accounts| {
@@ -324,7 +332,7 @@
         });
     }
 
-    /// The accounts that are near their limits, as this host's ledger has it.
+    /// Returns the accounts that are near their limits according to this host's ledger.
     pub fn near_accounts(&self) -> BTreeSet<AccountKey> {
         let now = self.now();
         let near = with_accounts(self, |accounts| {
@@ -335,8 +343,8 @@
         near.unwrap_or_default()
     }
 
-    /// The sums of this host's ledger that are to be told now, of all accounts where `is_whole`; none where no host goes
-    /// by it, or there is nothing to tell.
+    /// Returns the sums of this host's ledger to send now, for all accounts if `is_whole`; `None` if no host relies on
+    /// this ledger or if there is nothing to send.
     pub fn sums_to_tell(&self, is_whole: bool) -> Option<LedgerSums> {
         let now = self.now();
         let near = self.near_accounts();
@@ -348,7 +356,8 @@
         (is_whole || !sums.uses.is_empty()).then_some(sums)
     }
 
-    /// Brings the books up to date with the zones that have hosts and with the accounts in force.
+    /// Updates the ledger with the zones that have hosts, and removes stale ledgers and accounts that are no longer
+    /// configured.
     pub fn keep_books(&self) {
         let own = &self.settings.zone;
         let cluster = self.cluster.borrow();
--- a/src/relay/parts/availability.rs
+++ b/src/relay/parts/availability.rs
@@ -1,4 +1,4 @@
-//! Servers that say in their answers that they are leaving, or that this host is to back off.
+//! Availability that backend servers report in their responses: that they are leaving, or that this host must back off.
 
 use {
     super::{server_limits::AnswerKind, shared::RelayParts},
@@ -22,22 +22,22 @@
     std::{collections::BTreeMap, ops::RangeInclusive, time::Duration},
 };
 
-/// When callers are to come back where all servers are leaving: others are started within seconds, and those who were
-/// refused together are not to come back together.
-const COME_BACK_LEAVING: RangeInclusive<Duration> =
+/// Retry delay for callers when all servers are leaving: replacements start within seconds. Random, so that callers
+/// refused together don't return together.
+const LEAVING_RETRY_DELAY: RangeInclusive<Duration> =
     Duration::from_millis(700)..=Duration::from_millis(1_300);
 
-/// Time over which callers come back after a backoff, so that they do not return together.
-const BACKOFF_SPREAD: Duration = Duration::from_millis(600);
+/// Maximum random addition to the retry delay after a backoff, so that callers don't return together.
+const BACKOFF_JITTER: Duration = Duration::from_millis(600);
 
-/// How much later than the next more urgent ones callers are told to come back after a backoff.
+/// Additional retry delay after a backoff per rank: more urgent callers return first.
 const RANK_DELAY: Duration = Duration::from_millis(100);
 
-/// Ranks from which on callers come back no later.
-const RANKS_DELAYED: u8 = 4;
+/// Highest rank that adds to the retry delay; less urgent callers get the same delay.
+const DELAYED_RANKS_MAX: u8 = 4;
 
 impl RelayParts {
-    /// Takes what an answer says of its server; the request was sent at `sent`.
+    /// Applies the server state that a response reports. `sent` is when the request was sent.
     pub fn note_marks(
         &self,
         backend: &BackendInfo,
@@ -49,13 +49,13 @@
         self.note_availability(backend, marks);
     }
 
-    /// Whether a request may be sent to a server now; `admitted` is when memory was reserved there for it, if that was so.
+    /// Returns whether a request may be sent to a server now. `admitted` is when memory was reserved there for it, if any.
     pub fn may_send(&self, backend: &BackendInfo, admitted: Option<Duration>) -> bool {
         let book = self.book.borrow();
         book.may_send(backend, admitted, self.now())
     }
 
-    /// Sends a request to a server that still takes it when a connection is there.
+    /// Sends a request to a server, unless the server stops accepting new requests before a connection is available.
     pub async fn send_to(
         &self,
         backend: &BackendInfo,
@@ -67,7 +67,7 @@
         let check = || match self.may_send(backend, admitted) {
             true => Ok(()),
             false => Err(SendFailure::withheld(format!(
-                "{} takes no new requests",
+                "{} accepts no new requests",
                 backend.id
             ))),
         };
@@ -78,9 +78,9 @@
         let is_unreadable =
             marks.leaving == LeavingMark::Unreadable || marks.backoff == BackoffMark::Unreadable;
         if is_unreadable {
-            // Counted for all, logged for those who look: a server could fill the log with it.
+            // Counted in a metric, but logged at debug level only: a faulty server could fill the log.
             self.metrics.unreadable_marks.inc();
-            log::debug!("{} says something unreadable of itself", backend.id);
+            log::debug!("{}: unreadable leaving or backoff header", backend.id);
         }
         let now = self.now();
         let mut book = self.book.borrow_mut();
@@ -124,7 +124,7 @@
         );
     }
 
-    /// Logs backoffs that are over, and evicts expired entries of servers' availability.
+    /// Logs backoffs that have ended, and evicts expired availability entries.
     pub fn evict_availability(&self) {
         let now = self.now();
         let ended = self.book.borrow_mut().evict_availability(now);
@@ -134,13 +134,13 @@
         }
     }
 
-    // Connections to leaving servers on which requests were in progress when they said so.
+    // Closes connections to leaving servers that were in use when the server announced that it leaves.
     fn close_idle(&self) {
         let book = self.book.borrow();
         let unavailable = book.availability.unavailable(self.now());
         let leaving = unavailable.filter(|known| known.1 == ServerAvailability::Leaving);
         for (run, _) in leaving {
-            // Another run may have the address of one that is listed no longer.
+            // A new server may use the address of a run that is no longer listed.
             let view = book.view(&run.id);
             if view.is_some_and(|view| view.info.run() == *run) {
                 self.pool.forget(run.address);
@@ -148,7 +148,7 @@
         }
     }
 
-    /// The refusal of a request for a service whose servers take no new requests.
+    /// Returns the refusal of a request for a service none of whose servers accepts new requests.
     pub fn out_of_rotation(
         &self,
         service: &FastStr,
@@ -159,16 +159,17 @@
         self.metrics.held_off(service);
         let wait = match wait {
             RotationWait::Until(time) => {
-                let after_others = RANK_DELAY * u32::from(rank.min(RANKS_DELAYED));
-                time + after_others + rand::random_range(Duration::ZERO..=BACKOFF_SPREAD)
+                let rank_delay = RANK_DELAY * u32::from(rank.min(DELAYED_RANKS_MAX));
+                time + rank_delay + rand::random_range(Duration::ZERO..=BACKOFF_JITTER)
             }
-            RotationWait::NoneReturns => rand::random_range(COME_BACK_LEAVING),
+            RotationWait::NoneReturns => rand::random_range(LEAVING_RETRY_DELAY),
         };
-        let text = format!("all servers of {service} take no new requests for now");
+        let text = format!("no server of {service} accepts new requests at the moment");
         Refusal::new(verdict, RefusalCode::NoBackend, text).after(wait)
     }
 
-    /// The servers that take no new requests of this host by what their answers said, as a page for operators: one line each.
+    /// Returns a page for operators with one line for each server whose responses said that it accepts no new requests
+    /// from this host.
     pub fn availability_page(&self) -> String {
         let now = self.now();
         let book = self.book.borrow();
--- a/src/relay/parts/crashes.rs
+++ b/src/relay/parts/crashes.rs
@@ -1,4 +1,5 @@
-//! Requests that end their servers, at this host: what was seen and told goes into the book, the log and the metrics.
+//! Fatal requests: requests under which backend servers crash. Records what this host observes and what other hosts report,
+//! and logs and counts it.
 
 use {
     super::shared::RelayParts,
@@ -28,20 +29,21 @@
     },
 };
 
-/// Requests that a host's entry keeps at most: a fleet with more of them has lost two dozen servers to them already.
-const KEPT_MOST: usize = 8;
+/// Maximum number of fatal requests that a host's entry in the store keeps. A fleet with more of them has already lost two
+/// dozen servers to them.
+const KEPT_JUDGEMENTS_MAX: usize = 8;
 
-/// Asks the host whose permit it is whether a request may be tried.
+/// Asks the host that grants trials of a request whether it may be tried.
 pub type TrialAsk = dyn Fn(RequestDigest) -> LocalBoxFuture<'static, bool>;
 
-/// The book, and what goes with it.
+/// This host's records of fatal requests, and the state of their exchange with other hosts.
 pub struct CrashDesk {
     book: RefCell<CrashBook>,
-    // Those that this host's entry in the store keeps.
+    // Fatal requests that this host's entry in the store keeps.
     kept: RefCell<BTreeSet<RequestDigest>>,
-    // Up to where this host was told of each other's book, by its address.
+    // Position up to which this host has received the records of each other host, by its address.
     told: RefCell<HashMap<SocketAddr, CachePosition>>,
-    // Whether another host has told what it knows, or none is there that could, and the store was looked at.
+    // Whether this host has received the records of another host, or, where none could send them, those in the store.
     has_learned: Cell<bool>,
     trial_ask: RefCell<Option<Rc<TrialAsk>>>,
 }
@@ -53,7 +55,7 @@
 }
 
 impl CrashDesk {
-    /// An empty book; `id` is drawn at random.
+    /// Creates empty records; `id` is random.
     pub fn new(id: u64) -> Self {
         Self {
             book: RefCell::new(CrashBook::new(id)),
@@ -64,22 +66,22 @@
         }
     }
 
-    /// Takes the way to the hosts that allow trials.
+    /// Sets the function that asks other hosts for trials.
     pub fn set_trial_ask(&self, ask: Rc<TrialAsk>) {
         *self.trial_ask.borrow_mut() = Some(ask);
     }
 
-    /// Whether no request is remembered: then none needs a digest.
+    /// Returns whether there are no records. Requests need no digest then.
     pub fn is_empty(&self) -> bool {
         self.book.borrow().is_empty()
     }
 
-    /// Requests that are held to end their servers.
+    /// Number of requests that are judged fatal.
     pub fn fatal_count(&self) -> usize {
         self.book.borrow().fatal_count()
     }
 
-    /// What this host has been told of the book of the host at an address.
+    /// Returns the position up to which this host has received the records of the host at an address.
     pub fn place_at(&self, address: SocketAddr) -> CachePosition {
         self.told
             .borrow()
@@ -88,7 +90,7 @@
             .unwrap_or_default()
     }
 
-    // Forgets what hosts told that are listed no longer.
+    // Removes the positions of hosts that are no longer listed.
     fn keep_told(&self, is_listed: impl Fn(&SocketAddr) -> bool) {
         self.told
             .borrow_mut()
@@ -97,7 +99,7 @@
 }
 
 impl RelayParts {
-    /// What a request is held to be, and that it has come.
+    /// Returns the judgement on a request and records that the request arrived.
     pub fn judge(&self, digest: RequestDigest) -> CrashJudgement {
         let now = self.now();
         let mut book = self.crashes.book.borrow_mut();
@@ -108,17 +110,17 @@
         judgement
     }
 
-    /// A backend server ended under a request.
+    /// Records that a backend server crashed while it ran a request.
     pub fn note_end(&self, digest: RequestDigest, backend: &BackendInfo) {
         let run = EngineKey::of_run(&backend.id, backend.born);
         let change = {
             let mut book = self.crashes.book.borrow_mut();
             book.note_end(digest, run, self.now())
         };
-        self.crash_noted(digest, change);
+        self.publish_crash_change(digest, change);
     }
 
-    /// A request came to its good end.
+    /// Records that a request completed successfully.
     pub fn note_good_run(&self, digest: impl FnOnce() -> RequestDigest) {
         if self.crashes.is_empty() {
             return;
@@ -130,11 +132,11 @@
             book.note_good_run(digest, self.now())
         };
         if self.crashes.book.borrow().place() != before {
-            self.crash_noted(digest, change);
+            self.publish_crash_change(digest, change);
         }
     }
 
-    /// Whether a request that is held to end its servers may be tried now, as this host knows; if so, the trial begins.
+    /// Returns whether a fatal request may be tried now according to this host's records; if so, records the trial.
     pub fn grant_trial(&self, digest: RequestDigest) -> bool {
         let granted = self
             .crashes
@@ -143,12 +145,12 @@
             .grant_trial(digest, self.now());
         if granted {
             event::emit(&event::REQUEST_TRIED, &[("digest", &digest)]);
-            self.crash_noted(digest, None);
+            self.publish_crash_change(digest, None);
         }
         granted
     }
 
-    /// Asks whether a request may be tried, of the host whose permit it is.
+    /// Asks the host that grants trials of a request whether it may be tried.
     pub async fn ask_trial(&self, digest: RequestDigest) -> bool {
         let ask = self.crashes.trial_ask.borrow().clone();
         match ask {
@@ -157,7 +159,7 @@
         }
     }
 
-    fn crash_noted(&self, digest: RequestDigest, change: Option<CrashChange>) {
+    fn publish_crash_change(&self, digest: RequestDigest, change: Option<CrashChange>) {
         if change == Some(CrashChange::Judged) {
             self.keep_judgement(digest);
         }
@@ -168,7 +170,7 @@
         self.news.notify_waiters();
     }
 
-    /// Takes what another host told.
+    /// Merges records from another host.
     pub fn take_marks(&self, marks: &[CrashMark], source: MarkSource) {
         if marks.is_empty() {
             return;
@@ -192,15 +194,16 @@
         self.news.notify_waiters();
     }
 
-    // Who is told is not the first to know: one or two hosts write a judgement to the store.
+    // Adds a fatal request to those that this host's entry in the store keeps. Hosts that learn of the judgement in the
+    // fleet-wide exchange don't add it, so that only one or two hosts write it to the store.
     fn keep_judgement(&self, digest: RequestDigest) {
         let mut kept = self.crashes.kept.borrow_mut();
-        if kept.len() < KEPT_MOST {
+        if kept.len() < KEPT_JUDGEMENTS_MAX {
             kept.insert(digest);
         }
     }
 
-    /// What this host's entry in the store is to keep.
+    /// Returns the judgements for this host's entry in the store.
     pub fn kept_judgements(&self) -> Vec<KeptJudgement> {
         let book = self.crashes.book.borrow();
         let mut kept = self.crashes.kept.borrow_mut();
@@ -211,19 +214,20 @@
         marks.map(|mark| KeptJudgement::of(&mark)).collect()
     }
 
-    /// The list of hosts has changed.
+    /// Updates state that depends on the list of hosts, after it has changed.
     pub fn note_hosts(&self) {
         let cluster = self.cluster.borrow();
         let is_listed = |address: &SocketAddr| cluster.hosts().any(|entry| entry.peers == *address);
         self.crashes.keep_told(is_listed);
         self.limits.keep_told(is_listed);
         drop(cluster);
-        self.take_over_judgements();
+        self.adopt_judgements();
         self.mark_all_own();
     }
 
-    // A planned stop takes a host's entry away with what it keeps; the first by draw of those that are left keeps it then.
-    fn take_over_judgements(&self) {
+    // A planned stop removes a host's entry with the judgements in it. The remaining host that ranks first for the digest
+    // then keeps them.
+    fn adopt_judgements(&self) {
         let cluster = self.cluster.borrow();
         let own = &self.settings.name;
         for digest in self.crashes.book.borrow().fatal_digests() {
@@ -236,8 +240,9 @@
         }
     }
 
-    /// All that could tell were asked. If none of them knew, all have started at once, and what entries in the store keep is
-    /// all that is known. Otherwise they count for nothing: those of lost hosts stay, and would keep a request refused for good.
+    /// Finishes learning once every host that could send its records was asked. If none had any, all hosts have started at
+    /// the same time, and the judgements in the store are all that is known. Otherwise those are ignored: entries of lost
+    /// hosts stay in the store and would keep a request refused forever.
     pub fn finish_learning(&self) {
         let cluster = self.cluster.borrow();
         let kept = cluster
@@ -258,7 +263,7 @@
         self.news.notify_waiters();
     }
 
-    /// Takes what the host at an address told with its news.
+    /// Merges the records that the host at an address sent in an update.
     pub fn take_crash_news(&self, news: &CrashNews, from: SocketAddr) {
         self.take_marks(&news.marks, MarkSource::Told);
         if news.place.book == 0 {
@@ -268,7 +273,8 @@
         self.crashes.has_learned.set(true);
     }
 
-    /// What an asker lacks that all hosts are to know. A host that has only just started does not pass for one that knows.
+    /// Returns the records for all hosts that a peer lacks. A host that has just started sends no position, so that peers
+    /// don't count it as an informed host.
     pub fn crash_news(&self, known: CachePosition) -> CrashNews {
         let book = self.crashes.book.borrow();
         let news = book.news_since(known, self.now());
@@ -279,14 +285,14 @@
         CrashNews { place, ..news }
     }
 
-    /// What another host is to hear of this one, after a revision of its book; and the revision to which that goes.
+    /// Returns the records to report to another host that changed after a revision, and the revision that they reach.
     pub fn marks_to_report(&self, since: Option<u64>) -> (Vec<CrashMark>, u64) {
         let book = self.crashes.book.borrow();
         let marks = book.reported_since(since, self.now());
         (marks, book.place().revision)
     }
 
-    /// Whether this host was told which requests end servers, as far as anybody could tell it.
+    /// Returns whether this host knows the fatal requests as far as any other host could send them.
     pub fn knows_crashes(&self) -> bool {
         self.crashes.has_learned.get() || !self.cluster.borrow().hosts_position().is_known()
     }
--- a/src/relay/parts/mod.rs
+++ b/src/relay/parts/mod.rs
@@ -1,5 +1,5 @@
-//! What the tasks of a relaying host share: its beliefs, its decisions and its figures, in one place.
-//! Methods here connect several of them; what is done with a request is a matter of `request`.
+//! State that the tasks of a relaying host share: its view of the cluster, its routing decisions and its metrics.
+//! Methods here combine several of these; the handling of requests is implemented in `request`.
 
 pub(crate) mod accounts;
 pub(crate) mod availability;
--- a/src/relay/parts/permits.rs
+++ b/src/relay/parts/permits.rs
@@ -1,4 +1,4 @@
-//! Permits for requests to rate-limited backend servers: taking them, and allocating them.
+//! Acquires and allocates permits for requests to rate-limited backend servers.
 
 use {
     super::shared::RelayParts,
@@ -25,28 +25,29 @@
     },
 };
 
-/// Hosts that a host takes itself for one of before it knows any.
-const HOSTS_UNKNOWN: usize = 64;
+/// Number of hosts that a host assumes to exist while it has no list of hosts.
+const UNKNOWN_FLEET_HOSTS: usize = 64;
 
-/// How long ago another host was heard of at the most by one that is in touch: hosts report twice a second.
-const TOUCH_TIME: Duration = Duration::from_millis(2_000);
+/// A host that has heard from no other host for this long counts as isolated. Hosts report twice a second.
+const CONTACT_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Part of a caller's wait that is added by draw: two are not sent back for the same permit.
-const WAIT_SPREAD: f64 = 0.2;
+/// Random addition to a caller's retry delay, as a fraction of the delay, so that callers don't return together for the
+/// same permit.
+const RETRY_JITTER: f64 = 0.2;
 
-/// Asks the host that allocates the permits at a server of a zone.
+/// Requests permits from the host that allocates them for a server of an availability zone.
 pub type PermitCall = dyn Fn(FastStr, PermitRequest) -> LocalBoxFuture<'static, PermitGrant>;
 
-/// The permits that this host allocates, for all hosts or for itself alone, and the way to the others that do.
+/// The permits that this host allocates, for all hosts or for itself alone, and how to request them from other hosts.
 #[derive(Default)]
 pub struct PermitGate {
     allocator: RefCell<PermitAllocator>,
-    // While it reaches nobody who allocates them for all.
+    // Used while no host that allocates permits for the fleet is reachable.
     alone: RefCell<PermitAllocator>,
     call: RefCell<Option<Rc<PermitCall>>>,
-    // When another host last answered or asked.
+    // When another host last sent a response or a request.
     peer_heard: Cell<Option<Duration>>,
-    /// Whom this host hears of those that allocate them.
+    /// Selects the host that allocates the permits for a server, among those that respond.
     pub owners: RefCell<PermitOwners>,
 }
 
@@ -57,17 +58,17 @@
 }
 
 impl PermitGate {
-    /// Takes the way to the hosts that allocate permits.
+    /// Sets the function that requests permits from other hosts.
     pub fn set_call(&self, call: Rc<PermitCall>) {
         *self.call.borrow_mut() = Some(call);
     }
 
-    /// The way there; none where nobody allocates them for all.
+    /// The function that requests permits; `None` if no host allocates them for the fleet.
     pub(super) fn call(&self) -> Option<Rc<PermitCall>> {
         self.call.borrow().clone()
     }
 
-    /// Forgets permits that nobody asks for, and hosts that are listed no longer.
+    /// Removes permits that are no longer requested, and hosts that are no longer listed.
     pub(super) fn forget_old(&self, is_listed: impl Fn(&FastStr) -> bool, now: Duration) {
         for allocator in [&self.allocator, &self.alone] {
             allocator.borrow_mut().forget_old(now);
@@ -76,16 +77,16 @@
     }
 }
 
-/// Leave to send one request to a backend server; given back when dropped unused.
+/// Permission to send one request to a backend server; returned if dropped unused.
 #[must_use]
 pub struct ServerPermit {
     parts: Rc<RelayParts>,
-    // None where the server is not rate-limited.
+    // `None` if the server is not rate-limited or the permit is used.
     server: Option<EngineKey>,
 }
 
 impl ServerPermit {
-    /// The request is sent.
+    /// Marks the permit as used: its request was sent.
     pub fn use_up(mut self) {
         self.server = None;
     }
@@ -101,29 +102,30 @@
 }
 
 impl RelayParts {
-    /// Leave to send a request of a rank to a backend server; otherwise when a permit there is likely.
+    /// Acquires a permit to send a request to a backend server. The error says when a permit is likely to be available.
+    /// `rank` is the urgency of the request, 0 the highest.
     pub async fn take_permit(
         self: &Rc<Self>,
         backend: &BackendInfo,
         rank: u8,
     ) -> Result<ServerPermit, PermitWait> {
         let server = backend.key();
-        // Asked for once: what is allocated may go to another request of this host meanwhile.
-        for has_asked in [false, true] {
+        // Requests permits only once: another request of this host may use up what is granted.
+        for has_requested in [false, true] {
             let now = self.now();
             let state = self.book.borrow().limits.permit(server, rank, now);
             match state {
-                PermitState::Free => return Ok(self.permit_at(None)),
+                PermitState::Free => return Ok(self.issue_permit(None)),
                 PermitState::Held => {
                     let is_used = self.book.borrow_mut().limits.use_permit(server, now);
                     assert!(
                         is_used,
                         "a request to a rate-limited server has a permit there"
                     );
-                    return Ok(self.permit_at(Some(server)));
+                    return Ok(self.issue_permit(Some(server)));
                 }
                 PermitState::Empty(time) => return Err(PermitWait { server, time }),
-                PermitState::Ask if has_asked => break,
+                PermitState::Ask if has_requested => break,
                 PermitState::Ask => self.request_permit(backend, rank).await,
             }
         }
@@ -131,7 +133,7 @@
         Err(PermitWait { server, time })
     }
 
-    fn permit_at(self: &Rc<Self>, server: Option<EngineKey>) -> ServerPermit {
+    fn issue_permit(self: &Rc<Self>, server: Option<EngineKey>) -> ServerPermit {
         ServerPermit {
             parts: self.clone(),
             server,
@@ -152,7 +154,7 @@
         book.limits.take_grant(server, rank, &grant, now);
     }
 
-    /// Allocates permits to all hosts. What their answers said this host then knows as well.
+    /// Allocates permits to any host. Applies the limit that the request reports.
     pub fn allocate_permits(&self, ask: &PermitRequest) -> PermitGrant {
         let now = self.now();
         let grant = self.permits.allocator.borrow_mut().deal(ask, now);
@@ -163,46 +165,46 @@
         grant
     }
 
-    /// Allocates permits to this host alone, which reaches nobody who allocates them for all.
+    /// Allocates permits to this host only, which reaches no host that allocates them for the fleet.
     pub fn allocate_alone(&self, ask: &PermitRequest) -> PermitGrant {
         let mut allocator = self.permits.alone.borrow_mut();
-        allocator.allocate_alone(ask, self.sharing_hosts(), rand::random(), self.now())
+        allocator.allocate_alone(ask, self.share_count(), rand::random(), self.now())
     }
 
-    // The same where no host allocates them for all, as on the own interface.
+    // Allocates permits to this host where no host allocates them for the fleet, as on the product's own interface.
     fn allocate_share(&self, ask: &PermitRequest) -> PermitGrant {
         let mut allocator = self.permits.alone.borrow_mut();
-        allocator.allocate_share(ask, self.sharing_hosts(), rand::random(), self.now())
+        allocator.allocate_share(ask, self.share_count(), rand::random(), self.now())
     }
 
-    fn sharing_hosts(&self) -> usize {
+    fn share_count(&self) -> usize {
         match self.cluster.borrow().hosts_position().is_known() {
-            false => HOSTS_UNKNOWN,
-            true => self.others_left() + 1,
+            false => UNKNOWN_FLEET_HOSTS,
+            true => self.live_other_hosts() + 1,
         }
     }
 
-    /// Another host answered or asked.
+    /// Records that another host sent a response or a request.
     pub fn note_peer(&self) {
         self.permits.peer_heard.set(Some(self.now()));
     }
 
-    /// Whether this host hears of others, or is the only one.
+    /// Returns whether this host has heard from another one recently or is the only host.
     pub fn is_in_touch(&self) -> bool {
         let now = self.now();
         let heard = self.permits.peer_heard.get();
-        let is_heard = heard.is_some_and(|at| now.saturating_sub(at) < TOUCH_TIME);
+        let is_heard = heard.is_some_and(|at| now.saturating_sub(at) < CONTACT_TIMEOUT);
         let knows_hosts = self.cluster.borrow().hosts_position().is_known();
-        is_heard || (knows_hosts && self.others_left() == 0)
+        is_heard || (knows_hosts && self.live_other_hosts() == 0)
     }
 
-    // Other hosts that are listed, less those that are gone for sure.
-    fn others_left(&self) -> usize {
+    // Number of other listed hosts, without those known to be gone.
+    fn live_other_hosts(&self) -> usize {
         let others = self.cluster.borrow().host_count() - 1;
         others.saturating_sub(self.permits.owners.borrow().gone())
     }
 
-    /// The refusal of a request for which rate-limited servers have no permit before a time is over.
+    /// Returns the refusal of a request that gets no permit at the rate-limited servers of its service before `wait` is over.
     pub fn permit_denied(
         &self,
         service: &FastStr,
@@ -211,14 +213,12 @@
     ) -> Refusal {
         self.metrics.held_back(service);
         self.book.borrow_mut().limits.note_sent_away(wait.server);
-        let spread = rand::random_range(1.0..=1.0 + WAIT_SPREAD);
-        let text = format!(
-            "the servers of {service} that could take it name how much they take, and no permit is left"
-        );
+        let spread = rand::random_range(1.0..=1.0 + RETRY_JITTER);
+        let text = format!("no permit is available at the rate-limited servers of {service}");
         Refusal::new(verdict, RefusalCode::Overloaded, text).after(wait.time.mul_f64(spread))
     }
 
-    /// The host that allocates the permits at a server of a zone, as this one sees it; none where it hears none.
+    /// Returns the host that allocates the permits for a server of a zone, as far as this host knows.
     pub fn owner(&self, zone: &str, server: EngineKey) -> Option<HostEntry> {
         let cluster = self.cluster.borrow();
         let owners = self.permits.owners.borrow();
--- a/src/relay/parts/server_limits.rs
+++ b/src/relay/parts/server_limits.rs
@@ -1,4 +1,4 @@
-//! Rate-limited backend servers: hearing the limits that they name, and telling others of them.
+//! Rate limits of backend servers: reads them from responses and exchanges them with other hosts.
 
 use {
     super::shared::RelayParts,
@@ -27,20 +27,20 @@
     },
 };
 
-/// Lines that are logged of limits that were told at once.
-const SHOWN_MOST: usize = 16;
+/// Maximum number of log lines for limits that arrive in one update.
+const LOGGED_LIMITS_MAX: usize = 16;
 
-/// Which answer names or does not name a limit.
+/// The kind of response that states or omits a limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerKind {
-    /// That of a request that ran well: one that names no limit says that there is none.
+    /// The response to a request that ran successfully: if it states no limit, the server has none.
     GoodRun,
-    /// Any other, also to a call of our own: it only tells a limit that it names.
+    /// Any other response, including those to calls of this host: it has no meaning if it states no limit.
     Other,
 }
 
 impl AnswerKind {
-    /// The kind of an answer to a request, by its status and whether it says that the request did not run.
+    /// Returns the kind of a response, by its status and whether it says that the request did not run.
     pub fn of(status: StatusCode, not_run: bool) -> Self {
         match status.is_success() && !not_run {
             true => Self::GoodRun,
@@ -49,16 +49,16 @@
     }
 }
 
-/// What hosts tell each other of rate-limited servers.
+/// The limits of rate-limited servers that hosts exchange.
 #[derive(Debug)]
 pub struct LimitExchange {
     news: RefCell<LimitUpdates>,
-    // Up to where others told this host.
+    // Position up to which this host has received the updates of each other host, by its address.
     told: RefCell<HashMap<SocketAddr, CachePosition>>,
 }
 
 impl LimitExchange {
-    /// Nothing is known; `id` is drawn at random.
+    /// Creates an empty exchange; `id` is random.
     pub(super) fn new(id: u64) -> Self {
         Self {
             news: RefCell::new(LimitUpdates::new(id)),
@@ -66,20 +66,20 @@
         }
     }
 
-    /// Up to where this host was told the book of the host at an address.
+    /// Returns the position up to which this host has received the limits of the host at an address.
     pub fn place_at(&self, address: SocketAddr) -> CachePosition {
         let told = self.told.borrow();
         told.get(&address).copied().unwrap_or_default()
     }
 
-    // Forgets what hosts told that are listed no longer.
+    // Removes the positions of hosts that are no longer listed.
     pub(super) fn keep_told(&self, is_listed: impl Fn(&SocketAddr) -> bool) {
         let mut told = self.told.borrow_mut();
         told.retain(|address, _| is_listed(address));
     }
 }
 
-// How a limit is shown to operators.
+// Displays a limit in log lines and on pages for operators.
 struct ShownLimit(Option<ServerLimit>);
 
 impl fmt::Display for ShownLimit {
@@ -92,7 +92,7 @@
 }
 
 impl RelayParts {
-    /// Takes what an answer of a backend server says of its limit; the request was sent at `sent`.
+    /// Applies what a backend server's response states about its limit. `sent` is when the request was sent.
     pub fn note_limit(
         &self,
         backend: &BackendInfo,
@@ -110,17 +110,17 @@
         let saying = LimitSaying::told(limit, age, self.now());
         let was_limited = self.take_limit(backend, saying, "answer");
         if was_limited && limit.is_none() {
-            self.tell_end(backend, saying);
+            self.report_limit_end(backend, saying);
         }
     }
 
-    // Counted for all, logged for those who look: a server could fill the log with it.
+    // Counted in a metric, but logged at debug level only: a faulty server could fill the log.
     fn note_unreadable_limit(&self, backend: &BackendInfo) {
         self.metrics.unreadable_limits.inc();
-        log::debug!("{} names a limit that is none", backend.id);
+        log::debug!("{}: unreadable rate limit", backend.id);
     }
 
-    // Gives whether the server was believed to be rate-limited.
+    // Records a limit; returns whether the server was known to be rate-limited before.
     pub(super) fn take_limit(
         &self,
         backend: &BackendInfo,
@@ -138,17 +138,17 @@
         }
         let shown = book.limits.take(backend.key(), saying, now);
         drop(book);
-        self.note_for_others(backend, saying);
+        self.announce_limit(backend, saying);
         if !was_limited {
-            self.mark_own(backend);
+            self.update_ownership(backend);
         }
         if let Some(before) = shown {
-            self.show_limit(backend, saying, before, from);
+            self.log_limit(backend, saying, before, from);
         }
         was_limited
     }
 
-    fn note_for_others(&self, backend: &BackendInfo, saying: LimitSaying) {
+    fn announce_limit(&self, backend: &BackendInfo, saying: LimitSaying) {
         let mut news = self.limits.news.borrow_mut();
         if news.note(backend.key(), saying, MarkSource::Reported, self.now()) {
             self.reported.notify_one();
@@ -156,7 +156,7 @@
         }
     }
 
-    fn show_limit(
+    fn log_limit(
         &self,
         backend: &BackendInfo,
         saying: LimitSaying,
@@ -177,12 +177,13 @@
         );
     }
 
-    // Whoever allocates the permits there hears it from this host only if it asks, which it has no reason to do any more.
-    fn tell_end(&self, backend: &BackendInfo, saying: LimitSaying) {
+    // Tells the host that allocates the permits for a server that the server's limit has ended. That host would otherwise
+    // learn it only with the next permit request, which this host has no reason to send any more.
+    fn report_limit_end(&self, backend: &BackendInfo, saying: LimitSaying) {
         let Some(call) = self.permits.call() else {
             return;
         };
-        let telling = call(
+        let report = call(
             backend.zone.clone(),
             PermitRequest {
                 server: backend.key(),
@@ -192,29 +193,32 @@
             },
         );
         tokio::task::spawn_local(async move {
-            telling.await;
+            report.await;
         });
     }
 
-    // Whether this host allocates the permits at a server is asked for each request: it is worked out when that may change.
-    fn mark_own(&self, backend: &BackendInfo) {
+    // Caches whether this host allocates the permits for a server, because each request needs it. Recomputed when it may have
+    // changed.
+    fn update_ownership(&self, backend: &BackendInfo) {
         let owner = self.owner(&backend.zone, backend.key());
         let is_own = owner.is_some_and(|owner| owner.name == self.settings.name);
         let mut book = self.book.borrow_mut();
         book.limits.set_own(backend.key(), is_own);
     }
 
-    /// The backend servers or the hosts are others than before.
+    /// Recomputes for which servers this host allocates the permits, after a change of the backend servers or hosts.
     pub fn mark_all_own(&self) {
         let limits = self.book.borrow().limits.servers();
         if limits.is_empty() {
             return;
         }
         let listed = self.book.borrow().listed(&limits.into_iter().collect());
-        listed.iter().for_each(|backend| self.mark_own(backend));
+        listed
+            .iter()
+            .for_each(|backend| self.update_ownership(backend));
     }
 
-    /// Takes what another host told of rate-limited servers.
+    /// Applies limits that another host sent.
     pub fn take_limits(&self, marks: &[LimitUpdate], source: MarkSource) {
         let now = self.now();
         let mut shown = BTreeMap::new();
@@ -228,7 +232,7 @@
             let mut news = self.limits.news.borrow_mut();
             has_news |= news.note(mark.server, saying, source, now);
         }
-        self.show_told(&shown);
+        self.log_limit_changes(&shown);
         if has_news {
             self.mark_all_own();
         }
@@ -241,23 +245,23 @@
         self.news.notify_waiters();
     }
 
-    // One line each, but for many at once.
-    fn show_told(&self, shown: &BTreeMap<EngineKey, (LimitSaying, Option<ServerLimit>)>) {
+    // Logs changed limits, one line each up to a maximum.
+    fn log_limit_changes(&self, shown: &BTreeMap<EngineKey, (LimitSaying, Option<ServerLimit>)>) {
         let listed = match shown.is_empty() {
             true => return,
             false => self.book.borrow().listed(&shown.keys().copied().collect()),
         };
-        for backend in listed.iter().take(SHOWN_MOST) {
+        for backend in listed.iter().take(LOGGED_LIMITS_MAX) {
             let (saying, before) = shown[&backend.key()];
-            self.show_limit(backend, saying, before, "news");
+            self.log_limit(backend, saying, before, "news");
         }
-        let more = listed.len().saturating_sub(SHOWN_MOST);
+        let more = listed.len().saturating_sub(LOGGED_LIMITS_MAX);
         if more > 0 {
-            log::info!("limits of {more} more servers were told at once");
+            log::info!("limits of {more} more servers changed in the same update");
         }
     }
 
-    /// Takes what the host at an address told of rate-limited servers with its news.
+    /// Applies the limits that the host at an address sent in an update.
     pub fn take_limit_updates(&self, news: &CacheUpdates<LimitUpdate>, from: SocketAddr) {
         self.take_limits(&news.marks, MarkSource::Told);
         if news.place.book != 0 {
@@ -265,17 +269,17 @@
         }
     }
 
-    /// What an asker lacks that all hosts are to know of rate-limited servers.
+    /// Returns the limits for all hosts that a peer lacks.
     pub fn limit_updates(&self, known: CachePosition) -> CacheUpdates<LimitUpdate> {
         self.limits.news.borrow().since(known, self.now())
     }
 
-    /// What another host is to hear of this one of rate-limited servers, after a revision; and the revision to which that goes.
+    /// Returns the limits to report to another host that changed after a revision, and the revision that they reach.
     pub fn limits_to_report(&self, since: Option<u64>) -> (Vec<LimitUpdate>, u64) {
         self.limits.news.borrow().reported_since(since, self.now())
     }
 
-    /// The rate-limited servers as a page for operators: one line each.
+    /// Returns a page for operators with one line for each rate-limited server.
     pub fn limits_page(&self) -> String {
         let servers = self.book.borrow().limits.servers();
         let listed = self.book.borrow().listed(&servers.into_iter().collect());
@@ -297,7 +301,7 @@
         )
     }
 
-    /// Forgets limits that nobody has heard renewed for long, and permits that nobody asks for.
+    /// Removes limits that no response has confirmed for a long time, and permits that are no longer requested.
     pub fn forget_limits(&self) {
         let cluster = self.cluster.borrow();
         let is_listed = |name: &FastStr| cluster.hosts().any(|entry| entry.name == *name);
@@ -305,7 +309,10 @@
         let gone = self.book.borrow_mut().limits.forget_old(self.now());
         self.limits.news.borrow_mut().forget_old(self.now());
         if !gone.is_empty() {
-            log::info!("{} limits of servers were not heard for long", gone.len());
+            log::info!(
+                "removed {} server limits that no response has confirmed for a long time",
+                gone.len()
+            );
         }
     }
 }
--- a/src/relay/parts/shares.rs
+++ b/src/relay/parts/shares.rs
@@ -1,4 +1,4 @@
-//! This host's shares of what all hosts have together: repeats of requests, and connections to backend servers.
+//! This host's shares of budgets that all hosts divide among them: retries, and connections to backend servers.
 
 use {
     super::shared::RelayParts,
@@ -18,34 +18,35 @@
     std::time::Duration,
 };
 
-/// Part of the connections that a backend server accepts from all hosts together that they share out: hosts
-/// hear late of each other's demand, and those that come and go count for a while.
-const CONNECTIONS_PART: f64 = 0.85;
+/// Fraction of a backend server's connection limit that the hosts divide among them. The rest is headroom: hosts learn of
+/// each other's demand with a delay, and hosts that leave still count for a while.
+const SHARED_CONNECTIONS_PART: f64 = 0.85;
 
-/// Connections that a host may always have to a backend server: many hosts have a share of less than one, and
-/// few of them need it at the same time.
-const CONNECTIONS_LEAST: usize = 4;
+/// Minimum number of connections that a host may open to a backend server. With many hosts, the share of each is below
+/// one, and few of them need a connection at the same time.
+const CONNECTIONS_MIN: usize = 4;
 
-/// Repeats in a window, beyond the share of its requests, of a host that does not know among how many the
-/// allowance is to be shared out: enough for one or two. Operators allow at least two for each host.
-const EXTRA_UNKNOWN: f64 = 3.0;
+/// Retries per window, in addition to the fraction of its requests, for a host that does not know how many hosts share the
+/// budget: enough for one or two. Operators configure at least two for each host.
+const UNKNOWN_FLEET_EXTRA: f64 = 3.0;
 
-/// Engines of which this host asks to be told at most: four bytes each in a report, eight in its answer.
-const WANTED_MOST: usize = 32;
+/// Maximum number of engines whose load this host requests from others: each takes four bytes in a report and eight in
+/// its response.
+const WANTED_ENGINES_MAX: usize = 32;
 
-/// What all other hosts together count by service, as they last told.
+/// Total demand of all other hosts by service, as last reported.
 #[derive(Debug, Default)]
 pub(super) struct OthersDemand {
     demands: Vec<ServiceDemand>,
-    told: Duration,
+    reported_at: Duration,
 }
 
 impl OthersDemand {
-    // None where it was told too long ago.
+    // `None` if there is no recent report.
     fn of(&self, service: &str, now: Duration) -> Option<DemandCounts> {
         let mut recent = self.demands.iter();
         let known = recent.find(|demand| demand.service == service)?;
-        let is_recent = now.saturating_sub(self.told) < OTHERS_LIFE;
+        let is_recent = now.saturating_sub(self.reported_at) < OTHERS_LIFE;
         is_recent.then_some(DemandCounts {
             requests: known.requests,
             repeats: known.repeats,
@@ -63,17 +64,18 @@
         budget.earn(window, now);
     }
 
-    /// Whether a request for any service has come yet.
+    /// Returns whether this host has received a request for any service.
     pub fn has_served(&self) -> bool {
         !self.budgets.borrow().is_empty()
     }
 
-    /// Whether one repeat more may be sent to a service; if so, it is counted.
+    /// Counts a retry of a request to a service if the retry budget allows one; returns whether it does.
     pub fn spend_repeat(&self, service: &FastStr) -> bool {
         self.spend(service, WindowBudget::allows)
     }
 
-    /// The same for a repeat without which part of an answer is lost that its caller has already.
+    /// Like `spend_repeat`, for the retry of a request whose caller already has part of the response and would lose it
+    /// otherwise.
     pub fn spend_dear_repeat(&self, service: &FastStr) -> bool {
         self.spend(service, WindowBudget::may_risk)
     }
@@ -95,7 +97,7 @@
         allowed
     }
 
-    /// Whether a send may be made that counts as a repeat if it fails.
+    /// Returns whether the retry budget allows an attempt that counts as a retry if it fails.
     pub fn may_risk_repeat(&self, service: &FastStr) -> bool {
         let now = self.now();
         let fleet = self.fleet_demand(service);
@@ -104,7 +106,7 @@
         budget.may_risk(self.allowance(), &fleet, now)
     }
 
-    /// Counts a repeat that was sent already: a prefill that an engine did not do.
+    /// Counts a retry that was sent already: a prefill that an engine did not run.
     pub fn count_repeat(&self, service: &FastStr) {
         let now = self.now();
         let mut budgets = self.budgets.borrow_mut();
@@ -112,19 +114,19 @@
         self.metrics.repeats.inc();
     }
 
-    // A host that knows no hosts yet, not even itself, is one of an unknown number: after the loss of all of
-    // them each would take the whole allowance for its own.
+    // A host that has no list of hosts yet, which would include itself, reduces its budget: after all hosts are lost,
+    // each restarted one would otherwise use the budget of the whole fleet.
     fn allowance(&self) -> RetryAllowance {
         let whole = self.settings.bounds.retries;
         let is_known = self.cluster.borrow().hosts().next().is_some();
         let extra = match is_known {
             true => whole.extra,
-            false => whole.extra.min(EXTRA_UNKNOWN),
+            false => whole.extra.min(UNKNOWN_FLEET_EXTRA),
         };
         RetryAllowance { extra, ..whole }
     }
 
-    /// Where a request to a backend server goes, and this host's share of the connections there.
+    /// Returns the address for a request to a backend server, with this host's share of its connections as the limit.
     pub fn pool_target(&self, backend: &BackendInfo, purpose: PoolUse) -> PoolTarget {
         PoolTarget {
             address: backend.address,
@@ -135,8 +137,8 @@
         }
     }
 
-    // None where it is not bounded. At engines it is memory that bounds what runs: a prompt that is computed
-    // already is not to be lost for want of a connection.
+    // `None` if there is no limit. Engines limit concurrency by memory: a prompt that is already computed must not be lost
+    // because no connection is free.
     fn connection_share(&self, name: &FastStr) -> Option<usize> {
         let routes = self.routes()?;
         let service = routes.config().service(name)?;
@@ -144,8 +146,8 @@
             return None;
         }
         let share = self.fleet_demand(name).share(self.own_requests(name));
-        let whole = f64::from(service.connection_limit?) * CONNECTIONS_PART;
-        Some(((whole * share) as usize).max(CONNECTIONS_LEAST))
+        let whole = f64::from(service.connection_limit?) * SHARED_CONNECTIONS_PART;
+        Some(((whole * share) as usize).max(CONNECTIONS_MIN))
     }
 
     fn own_requests(&self, service: &FastStr) -> u64 {
@@ -156,7 +158,7 @@
         budget.map_or(0, |budget| budget.counts(window, now).requests)
     }
 
-    /// What is known of the demand of all hosts for a service.
+    /// Returns the known demand of all hosts for a service.
     pub fn fleet_demand(&self, service: &str) -> FleetDemand {
         FleetDemand {
             hosts: self.cluster.borrow().host_count(),
@@ -164,7 +166,7 @@
         }
     }
 
-    /// What this host tells others of its requests.
+    /// Returns the report of this host's load for other hosts.
     pub fn own_report(&self) -> LoadReport {
         let now = self.now();
         let window = self.settings.bounds.retries.window;
@@ -189,21 +191,22 @@
         }
     }
 
-    // Where there are few hosts all engines are worked with, and the fullest of them are told anyway.
+    // With few hosts, every engine is preferred; the list may be cut because the load of the fullest engines is reported in
+    // any case.
     fn wanted_keys(&self) -> Vec<EngineKey> {
         let mut keys = self.book.borrow().preferred_keys();
-        keys.truncate(WANTED_MOST);
+        keys.truncate(WANTED_ENGINES_MAX);
         keys
     }
 
-    /// Takes what all other hosts tell together.
+    /// Applies the combined report of all other hosts.
     pub fn take_others(&self, report: LoadReport) {
         let now = self.now();
         self.take_near(&report.accounts);
         self.book.borrow_mut().set_others(&report.loads, now);
         *self.others.borrow_mut() = OthersDemand {
             demands: report.demands,
-            told: now,
+            reported_at: now,
         };
     }
 }
