--- a/src/relay/parts/availability.rs
+++ b/src/relay/parts/availability.rs
@@ -89,11 +89,11 @@
         if change.is_leaving {
             self.pool.forget(backend.address);
             self.prefer_engines();
-            self.metrics.left_service(&backend.service);
+            self.metrics.servers_leaving(&backend.service);
             self.log_leaving(backend);
         }
         if let Some(time) = change.backoff {
-            self.metrics.backed_off(&backend.service);
+            self.metrics.server_backoffs(&backend.service);
             self.log_backoff(backend, time);
         }
     }
--- a/src/relay/parts/ends.rs
+++ b/src/relay/parts/ends.rs
@@ -1,4 +1,4 @@
-//! Whether a backend server has ended: asked once for all of this host's requests whose connections to it broke off.
+//! Detects whether a backend server has crashed or stopped, with one probe for all requests whose connections to it broke.
 
 use {
     super::shared::RelayParts,
@@ -15,35 +15,36 @@
     tokio::sync::Notify,
 };
 
-/// When it is looked whether the server has begun anew under its id, where its address does not tell: starts take
-/// seconds, and their entries come a moment later.
-const BEGUN_PAUSES: [Duration; 3] = [
+/// Intervals at which to check whether the server was restarted under the same id, if its address still accepts
+/// connections. Starts take seconds, and the entry of the new run follows a moment later.
+const RESTART_CHECK_DELAYS: [Duration; 3] = [
     Duration::from_millis(800),
     Duration::from_millis(1_200),
     Duration::from_millis(2_000),
 ];
 
-// One question, and whoever waits for its answer.
+// A running probe, and the tasks that wait for its outcome.
 #[derive(Debug, Default)]
-struct EndQuestion {
+struct EndProbe {
     outcome: Cell<Option<ProbeOutcome>>,
-    answered: Notify,
+    finished: Notify,
 }
 
-/// The questions that are out.
+/// The running probes, by server run.
 #[derive(Debug, Default)]
-pub struct EndQuestions(RefCell<HashMap<EngineKey, Rc<EndQuestion>>>);
+pub struct EndProbes(RefCell<HashMap<EngineKey, Rc<EndProbe>>>);
 
 impl RelayParts {
-    /// Whether a backend server ended, to which a connection has just broken off.
+    /// Returns whether a backend server has ended, after a connection to it broke.
     ///
-    /// A reset, a cut or a spoiled answer breaks connections too; that nobody listens any more tells an end from these.
+    /// Connections also break because of a reset, a network partition or a corrupt response. An address that refuses
+    /// connections shows that the server has ended.
     pub async fn has_ended(&self, backend: &BackendInfo) -> bool {
         if self.probe_once(backend).await == ProbeOutcome::Refused {
             return true;
         }
-        for pause in BEGUN_PAUSES {
-            tokio::time::sleep(pause).await;
+        for delay in RESTART_CHECK_DELAYS {
+            tokio::time::sleep(delay).await;
             if self.book.borrow().has_begun_anew(backend) {
                 return true;
             }
@@ -51,34 +52,31 @@
         false
     }
 
-    // Twenty requests whose connections break at the same moment open one connection.
+    // Requests whose connections break at the same moment share one probe.
     async fn probe_once(&self, backend: &BackendInfo) -> ProbeOutcome {
         let key = EngineKey::of_run(&backend.id, backend.born);
-        let out = self.end_questions.0.borrow().get(&key).cloned();
-        if let Some(question) = out {
-            return question.answer().await;
+        let running = self.end_probes.0.borrow().get(&key).cloned();
+        if let Some(probe) = running {
+            return probe.outcome().await;
         }
-        let question = Rc::new(EndQuestion::default());
-        self.end_questions
-            .0
-            .borrow_mut()
-            .insert(key, question.clone());
+        let probe = Rc::new(EndProbe::default());
+        self.end_probes.0.borrow_mut().insert(key, probe.clone());
         let outcome = web::probe_patiently(backend.address).await;
-        self.end_questions.0.borrow_mut().remove(&key);
-        question.outcome.set(Some(outcome));
-        question.answered.notify_waiters();
+        self.end_probes.0.borrow_mut().remove(&key);
+        probe.outcome.set(Some(outcome));
+        probe.finished.notify_waiters();
         outcome
     }
 }
 
-impl EndQuestion {
-    async fn answer(&self) -> ProbeOutcome {
+impl EndProbe {
+    async fn outcome(&self) -> ProbeOutcome {
         loop {
-            let answered = self.answered.notified();
+            let finished = self.finished.notified();
             if let Some(outcome) = self.outcome.get() {
                 return outcome;
             }
-            answered.await;
+            finished.await;
         }
     }
 }
--- a/src/relay/parts/metric_labels.rs
+++ b/src/relay/parts/metric_labels.rs
@@ -1,4 +1,4 @@
-//! The labels of a relaying host's metrics; how many names have series of their own is bounded.
+//! Labels of the metrics of a relaying host, with a bound on the number of label values.
 
 use {
     faststr::FastStr,
@@ -6,89 +6,89 @@
     std::{cell::RefCell, collections::HashSet},
 };
 
-/// Routes that have series of their own; the rest share the name "other": configurations may hold
-/// hundreds of routes that carry nothing.
+/// Maximum number of routes with their own series; the rest share the label "other". Configurations may have hundreds of
+/// routes without traffic.
 pub(super) const ROUTE_LABELS_MAX: usize = 64;
 
-/// Which requests a series counts.
+/// Labels of metrics by route.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RouteLabels {
     /// The route's name.
     pub route: String,
 }
 
-/// How requests ended.
+/// Labels of metrics by route and status.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct EndLabels {
-    /// The route's name; empty where none was found.
+    /// The route's name; empty if no route matched.
     pub route: String,
-    /// The status that the caller got.
+    /// The status of the response to the caller.
     pub status: u16,
 }
 
-/// Accounts that have series of their own; the rest share the name "other".
+/// Maximum number of accounts with their own series; the rest share the label "other".
 pub(super) const ACCOUNT_LABELS_MAX: usize = 64;
 
-/// What became of a request at its account's limit.
+/// The outcome of a request at its account's limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum LimitEnd {
-    /// It was let in.
+    /// The request was admitted.
     LetIn,
-    /// The account is over its limit.
+    /// The request was refused because the account is over its limit.
     OverLimit,
-    /// It was let in, did certainly not run, and was given back.
+    /// The request was admitted but certainly did not run, and its charge was refunded.
     GivenBack,
 }
 
-/// Which requests of accounts a series counts.
+/// Labels of metrics by account and outcome.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct AccountLabels {
     /// The account's name.
     pub account: String,
-    /// What became of them.
+    /// The outcome.
     pub end: LimitEnd,
 }
 
-/// Services that have series of their own; the rest share the name "other".
+/// Maximum number of services with their own series; the rest share the label "other".
 pub(super) const SERVICE_LABELS_MAX: usize = 64;
 
-/// Which service's requests a series counts.
+/// Labels of metrics by service.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ServiceLabels {
     /// The service's name.
     pub service: String,
 }
 
-/// Why the store is called.
+/// The reason for a call to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum StoreCause {
-    /// To read all objects of a kind.
+    /// Reads all objects of a kind.
     List,
-    /// To hear of changes.
+    /// Watches for changes.
     Watch,
-    /// To look whether it answers again.
+    /// Checks whether the store responds again.
     WhileLost,
-    /// For the lease under which engines are given orders.
+    /// Reads or writes the lease for engine roles.
     Lease,
-    /// For the host's own entry.
+    /// Reads or writes the entry of this host.
     Entry,
 }
 
-/// Which calls to the store a series counts.
+/// Labels of metrics by reason of a call to the store.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct CauseLabels {
-    /// Why they were made.
+    /// The reason.
     pub cause: StoreCause,
 }
 
-/// A name as a label: the first names have series of their own, the others share one.
+/// Returns the label for a name: the name itself for the first `max` names, "other" for the rest.
 pub(super) fn bounded_label(
     known: &RefCell<HashSet<FastStr>>,
     name: &FastStr,
-    most: usize,
+    max: usize,
 ) -> String {
     let mut known = known.borrow_mut();
-    if known.len() < most {
+    if known.len() < max {
         known.insert(name.clone());
     }
     match known.contains(name) {
--- a/src/relay/parts/metrics.rs
+++ b/src/relay/parts/metrics.rs
@@ -1,4 +1,4 @@
-//! What a relaying host counts: requests by route and end, times by route, and what it holds.
+//! Metrics of a relaying host: responses and latencies by route, and the state of the host.
 
 use {
     super::metric_labels::{
@@ -20,7 +20,7 @@
 /// All metrics of a relaying host.
 pub struct RelayMetrics {
     registry: Registry,
-    known: RefCell<HashSet<FastStr>>,
+    known_routes: RefCell<HashSet<FastStr>>,
     known_accounts: RefCell<HashSet<FastStr>>,
     known_services: RefCell<HashSet<FastStr>>,
     account_requests: Family<AccountLabels, Counter>,
@@ -31,62 +31,62 @@
     prefill_time: RouteHistogram,
     /// Requests in progress.
     pub in_flight: Gauge,
-    /// Requests that wait for memory at an engine.
+    /// Requests that wait for memory of an engine.
     pub waiting: Gauge,
     /// Connections to backend servers.
     pub connections: Gauge,
-    /// Version of the configuration in force.
+    /// Version of the active configuration.
     pub config_version: Gauge,
     /// Backend servers that may be used.
     pub backends: Gauge,
-    /// Repeats that were sent to backend servers.
+    /// Retries that were sent to backend servers.
     pub repeats: Counter,
-    /// Backend servers that were passed over after failures.
+    /// Ejections of backend servers after failures.
     pub ejections: Counter,
-    /// Sends that found all of this host's connections to their backend server in use.
+    /// Requests for which all of this host's connections to the backend server were in use.
     pub connection_limits: Counter,
     /// Calls to the store that failed.
     pub store_failures: Counter,
-    /// Lists of the store that were left, since they show an older revision than is known.
+    /// Lists from the store that were ignored because their revision is older than the known one.
     pub older_lists: Counter,
     store_calls: Family<CauseLabels, Counter>,
     ended_under: Family<ServiceLabels, Counter>,
     fatal_refused: Family<ServiceLabels, Counter>,
     held_back: Family<ServiceLabels, Counter>,
     held_off: Family<ServiceLabels, Counter>,
-    left_service: Family<ServiceLabels, Counter>,
-    backed_off: Family<ServiceLabels, Counter>,
-    /// Requests that are held to end their servers.
+    servers_leaving: Family<ServiceLabels, Counter>,
+    server_backoffs: Family<ServiceLabels, Counter>,
+    /// Requests that are judged fatal.
     pub fatal_requests: Gauge,
-    /// Connections to backend servers that were opened.
+    /// Connections opened to backend servers.
     pub connections_opened: Gauge,
-    /// Sends to backend servers over a connection that was open already.
+    /// Requests sent to backend servers over an existing connection.
     pub connections_reused: Gauge,
-    /// How old the host's view of the store may be, milliseconds; -1 before it knows everything.
+    /// Maximum age of the host's view of the store in milliseconds; -1 until the view is complete.
     pub news_age: Gauge,
-    /// How long ago the store last answered this host, whatever it was asked, milliseconds; -1 where it never did.
+    /// Time since the store's last response of any kind in milliseconds; -1 if there was none.
     pub store_heard: Gauge,
-    /// The latest era of the store that this host knows of; it rises when the store was restored from a copy.
+    /// The latest known era of the store, which increases when the store is restored from a backup.
     pub store_era: Gauge,
-    /// Answers of the store that named no era, none that can be read, or an earlier one.
+    /// Responses of the store with a missing, unreadable or earlier era.
     pub doubtful_eras: Gauge,
-    /// Answers to other hosts that asked for news.
+    /// Responses to other hosts that requested updates.
     pub news_told: Counter,
-    /// How long ago the configuration was surely the newest, milliseconds; -1 where that was never so.
+    /// Time since the configuration was last confirmed to be the latest in milliseconds; -1 if it never was.
     pub proof_age: Gauge,
-    /// Requests refused since this host could not tell whether their key is in force.
+    /// Requests refused because this host could not verify their key.
     pub unsure_keys: Counter,
-    /// Requests for which the zone's ledger was asked.
+    /// Queries to the zone's ledger.
     pub ledger_asks: Counter,
-    /// Of these, those that it did not answer in time.
+    /// Queries that the ledger did not answer in time.
     pub ledger_silences: Counter,
-    /// Answers that name a limit which is none.
+    /// Responses with an unreadable limit.
     pub unreadable_limits: Counter,
-    /// Answers that say something else where they may say that their server leaves or wants a backoff.
+    /// Responses with an unreadable leaving or backoff header.
     pub unreadable_marks: Counter,
-    /// Backend servers that take no new requests of this host by what their answers said.
+    /// Backend servers whose responses said that they accept no new requests from this host.
     pub servers_unavailable: Gauge,
-    /// Backend servers that name a limit.
+    /// Backend servers with a rate limit.
     pub servers_limited: Gauge,
 }
 
@@ -96,7 +96,7 @@
     }
 }
 
-// From the fastest plain call to the longest wait of a caller, seconds.
+// Buckets in seconds, from the fastest plain call to the longest wait of a caller.
 fn time_buckets() -> Histogram {
     Histogram::new([
         0.01, 0.025, 0.05, 0.1, 0.15, 0.2, 0.3, 0.45, 0.6, 0.9, 1.4, 2.0, 3.0, 5.0, 14.0,
@@ -107,7 +107,7 @@
     fn default() -> Self {
         let mut metrics = Self {
             registry: Registry::with_prefix("bayplank_relay"),
-            known: RefCell::default(),
+            known_routes: RefCell::default(),
             known_accounts: RefCell::default(),
             known_services: RefCell::default(),
             account_requests: Family::default(),
@@ -131,8 +131,8 @@
             fatal_refused: Family::default(),
             held_back: Family::default(),
             held_off: Family::default(),
-            left_service: Family::default(),
-            backed_off: Family::default(),
+            servers_leaving: Family::default(),
+            server_backoffs: Family::default(),
             fatal_requests: Gauge::default(),
             connections_opened: Gauge::default(),
             connections_reused: Gauge::default(),
@@ -201,12 +201,12 @@
         r.register(
             "servers_leaving",
             "Backend servers whose answers said that they are leaving, by service",
-            self.left_service.clone(),
+            self.servers_leaving.clone(),
         );
         r.register(
             "server_backoffs",
             "Backoffs that backend servers asked this host for, by service",
-            self.backed_off.clone(),
+            self.server_backoffs.clone(),
         );
         let times = [
             ("head", "Arrival to the head of the answer", &self.head_time),
@@ -338,41 +338,49 @@
         }
     }
 
-    /// A backend server of a service ended under a request.
+    /// Counts a request under which a backend server of a service crashed.
     pub fn ended_under(&self, service: &FastStr) {
-        self.ended_under.get_or_create(&self.service(service)).inc();
+        self.ended_under
+            .get_or_create(&self.service_labels(service))
+            .inc();
     }
 
-    /// A request was refused since servers of the service that are rate-limited had no permit for it.
+    /// Counts a request refused because the rate-limited servers of the service had no permit for it.
     pub fn held_back(&self, service: &FastStr) {
-        self.held_back.get_or_create(&self.service(service)).inc();
+        self.held_back
+            .get_or_create(&self.service_labels(service))
+            .inc();
     }
 
-    /// A request was refused since all servers of the service take no new requests.
+    /// Counts a request refused because no server of the service accepts new requests.
     pub fn held_off(&self, service: &FastStr) {
-        self.held_off.get_or_create(&self.service(service)).inc();
+        self.held_off
+            .get_or_create(&self.service_labels(service))
+            .inc();
     }
 
-    /// A backend server of a service said that it is leaving.
-    pub fn left_service(&self, service: &FastStr) {
-        self.left_service
-            .get_or_create(&self.service(service))
+    /// Counts a backend server of a service that reported that it is leaving.
+    pub fn servers_leaving(&self, service: &FastStr) {
+        self.servers_leaving
+            .get_or_create(&self.service_labels(service))
             .inc();
     }
 
-    /// A backend server of a service asked this host to back off.
-    pub fn backed_off(&self, service: &FastStr) {
-        self.backed_off.get_or_create(&self.service(service)).inc();
+    /// Counts a backoff that a backend server of a service requested from this host.
+    pub fn server_backoffs(&self, service: &FastStr) {
+        self.server_backoffs
+            .get_or_create(&self.service_labels(service))
+            .inc();
     }
 
-    /// A request was refused since backend servers of the service end under it.
+    /// Counts a request refused because backend servers of the service crash under it.
     pub fn fatal_refused(&self, service: &FastStr) {
         self.fatal_refused
-            .get_or_create(&self.service(service))
+            .get_or_create(&self.service_labels(service))
             .inc();
     }
 
-    fn service(&self, service: &FastStr) -> ServiceLabels {
+    fn service_labels(&self, service: &FastStr) -> ServiceLabels {
         ServiceLabels {
             service: metric_labels::bounded_label(
                 &self.known_services,
@@ -382,7 +390,7 @@
         }
     }
 
-    /// The store was called so many times.
+    /// Counts calls to the store.
     pub fn store_called(&self, cause: StoreCause, calls: u32) {
         let labels = CauseLabels { cause };
         self.store_calls
@@ -390,12 +398,12 @@
             .inc_by(u64::from(calls));
     }
 
-    /// Calls to the store for this cause since the start.
+    /// Returns the number of calls to the store for this reason since the start.
     pub fn store_calls(&self, cause: StoreCause) -> u64 {
         self.store_calls.get_or_create(&CauseLabels { cause }).get()
     }
 
-    /// A request of so many units met its account's limit.
+    /// Counts the outcome of a request at its account's limit, and its units.
     pub fn limited(&self, account: &FastStr, units: f64, end: LimitEnd) {
         let labels = AccountLabels {
             account: metric_labels::bounded_label(
@@ -411,9 +419,9 @@
             .inc_by(units as u64);
     }
 
-    /// An answer went to its caller.
+    /// Counts a response to a caller, and the time from the arrival of the request to the response headers.
     pub fn answered(&self, route: Option<&RelayRoute>, status: u16, head_time: Duration) {
-        let name = route.map_or_else(String::new, |route| self.label(route));
+        let name = route.map_or_else(String::new, |route| self.route_label(route));
         let labels = EndLabels {
             route: name,
             status,
@@ -424,32 +432,36 @@
         }
     }
 
-    /// An engine's memory was reserved after this wait.
+    /// Records the wait for the reservation of an engine's memory.
     pub fn reserved(&self, route: &RelayRoute, wait: Duration) {
         self.observe(&self.reserve_time, route, wait);
     }
 
-    /// A prompt was computed in this time.
+    /// Records the duration of a prefill, including its wait.
     pub fn computed(&self, route: &RelayRoute, time: Duration) {
         self.observe(&self.prefill_time, route, time);
     }
 
     fn observe(&self, family: &RouteHistogram, route: &RelayRoute, time: Duration) {
         let labels = RouteLabels {
-            route: self.label(route),
+            route: self.route_label(route),
         };
         family.get_or_create(&labels).observe(time.as_secs_f64());
     }
 
-    fn label(&self, route: &RelayRoute) -> String {
-        metric_labels::bounded_label(&self.known, &route.name, metric_labels::ROUTE_LABELS_MAX)
+    fn route_label(&self, route: &RelayRoute) -> String {
+        metric_labels::bounded_label(
+            &self.known_routes,
+            &route.name,
+            metric_labels::ROUTE_LABELS_MAX,
+        )
     }
 
-    /// The metrics as a page of the OpenMetrics text format.
+    /// Returns the metrics in the OpenMetrics text format.
     pub fn page(&self) -> String {
         let mut page = String::new();
         if let Err(error) = text::encode(&mut page, &self.registry) {
-            log::error!("the metrics cannot be written: {error}");
+            log::error!("failed to encode the metrics: {error}");
         }
         page
     }
--- a/src/relay/parts/publish.rs
+++ b/src/relay/parts/publish.rs
@@ -1,4 +1,4 @@
-//! What becomes of news: a configuration is in force, requests go to other backend servers.
+//! Applies updates of the cluster state: activates configurations and publishes changes of the backend servers.
 
 use {
     super::shared::RelayParts,
@@ -14,11 +14,11 @@
     std::collections::HashMap,
 };
 
-/// Names that a line of the log shows at most.
-const NAMES_SHOWN: usize = 8;
+/// Maximum number of names in a log line.
+const LOGGED_NAMES_MAX: usize = 8;
 
 impl RelayParts {
-    /// Takes a configuration from the store or another host, if it is newer.
+    /// Activates a configuration from the store or another host if it is newer than the current one.
     pub fn offer_config(&self, config: RelayConfig, from: &str) {
         let version = config.version;
         let taken = self.cluster.borrow_mut().update_config(config);
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Tells the book which backend servers there are, and other hosts that there is news.
+    /// Applies the current list of backend servers to routing and wakes the tasks that wait for changes.
     pub fn publish_backends(&self) {
         let usable = self.cluster.borrow().usable();
         let count = usable.len();
@@ -54,7 +54,7 @@
         self.news.notify_waiters();
     }
 
-    /// Works out anew which engines of its zone this host works with first.
+    /// Recomputes which engines of its availability zone this host prefers.
     pub fn prefer_engines(&self) {
         let own = &self.settings.name;
         let zone = &self.settings.zone;
@@ -97,17 +97,22 @@
         );
     }
 
-    /// The name of this host, for logs.
+    /// The name of this host.
     pub fn name(&self) -> FastStr {
         self.settings.name.clone()
     }
 }
 
-// The first names of a list, and how many more there are: a zone's loss would make a line of its own length.
+// Joins the first names of a list and adds how many more there are: the loss of a zone would otherwise produce a very long
+// line.
 fn short_list(names: &[FastStr]) -> String {
-    let shown: Vec<&str> = names.iter().take(NAMES_SHOWN).map(|name| &**name).collect();
+    let shown: Vec<&str> = names
+        .iter()
+        .take(LOGGED_NAMES_MAX)
+        .map(|name| &**name)
+        .collect();
     let shown = shown.join(",");
-    match names.len().saturating_sub(NAMES_SHOWN) {
+    match names.len().saturating_sub(LOGGED_NAMES_MAX) {
         0 => shown,
         more => format!("{shown},+{more}"),
     }
--- a/src/relay/parts/shared.rs
+++ b/src/relay/parts/shared.rs
@@ -1,10 +1,10 @@
-//! What the tasks of a relaying host share; all run on one thread.
+//! State that the tasks of a relaying host share. All of them run on one thread.
 
 use {
     super::{
         accounts::AccountGate,
         crashes::CrashDesk,
-        ends::EndQuestions,
+        ends::EndProbes,
         metrics::RelayMetrics,
         permits::PermitGate,
         server_limits::{AnswerKind, LimitExchange},
@@ -44,64 +44,64 @@
     tokio::sync::Notify,
 };
 
-/// Bytes that an answer to a call of our own may have.
-const CONTROL_ANSWER_LIMIT: usize = 1 << 20;
+/// Maximum size in bytes of the response to a call of this host.
+const CONTROL_RESPONSE_LIMIT: usize = 1 << 20;
 
-/// What the tasks of a relaying host share.
+/// State that the tasks of a relaying host share.
 #[derive(Debug)]
 pub struct RelayParts {
     /// The host's settings.
     pub settings: RelaySettings,
-    /// How backend servers are spoken to.
+    /// The dialect of the calls to backend servers.
     pub dialect: CallDialect,
-    /// Connections to them.
+    /// Connections to backend servers.
     pub pool: Rc<ConnectionPool>,
-    /// What is known of them.
+    /// The state of backend servers that routing decisions use.
     pub book: RefCell<BackendBook>,
-    /// What engines keep of prompts that they read.
+    /// Prompt prefixes that engines have in their caches.
     pub kept: RefCell<KeptPrompts>,
-    /// What the store says.
+    /// The cluster state from the store.
     pub cluster: RefCell<ClusterState>,
-    /// Repeats by service.
+    /// Retry budgets by service.
     pub budgets: RefCell<HashMap<FastStr, WindowBudget>>,
-    /// What the other hosts count by service.
+    /// Demand of the other hosts by service.
     pub(super) others: RefCell<OthersDemand>,
-    /// The use of client accounts.
+    /// Limits of client accounts.
     pub accounts: AccountGate,
-    /// Backend servers of which it is being found out whether they ended.
-    pub(super) end_questions: EndQuestions,
-    /// Requests that end their servers.
+    /// Running probes that detect whether backend servers have ended.
+    pub(super) end_probes: EndProbes,
+    /// Fatal requests, under which backend servers crash.
     pub crashes: CrashDesk,
-    /// Rate-limited backend servers, as others hear of them.
+    /// The exchange of server limits with other hosts.
     pub limits: LimitExchange,
-    /// Turns at these.
+    /// Permits for rate-limited backend servers.
     pub permits: PermitGate,
-    /// How long callers say that they will wait.
+    /// How long callers have already waited, estimated by route.
     pub waits: RefCell<CallerWaits>,
     /// Requests that wait for engines.
     pub line: RefCell<WaitLine>,
-    /// Told when memory or a place in the line may have become free.
+    /// Notified when engine memory or a place in the queue may have become free.
     pub freed: Notify,
-    /// Told when others are to hear of what requests of this host, or of those that report to it, have shown.
+    /// Notified when there are findings to report to other hosts, from this host's requests or from hosts that report to it.
     pub reported: Notify,
-    /// Told when the configuration, the backend servers or the hosts have changed.
+    /// Notified when the configuration, the backend servers or the hosts have changed, or other data for peers.
     pub news: Notify,
-    /// A host that knows all and asked this one while it knew nothing.
+    /// A fully informed host that requested updates from this one while this one had no data.
     pub informed: Cell<Option<SocketAddr>>,
-    /// When the store last answered this host, whatever it was asked; none where it never did.
+    /// When the store last sent a response of any kind; `None` if it never did.
     pub store_heard: Cell<Option<Duration>>,
-    /// The era that the store's answers name.
+    /// The era that the store's responses state.
     pub eras: Rc<EraTracker>,
-    /// What is counted.
+    /// The metrics.
     pub metrics: RelayMetrics,
     /// Counts requests in progress and closes for a planned stop.
     pub gate: Arc<StopGate>,
-    /// The clock of all ages.
+    /// The clock for all ages.
     pub clock: HostClock,
 }
 
 impl RelayParts {
-    /// The parts of a host that knows nothing yet.
+    /// Creates the state of a host that has no data yet.
     pub fn new(
         settings: RelaySettings,
         dialect: CallDialect,
@@ -111,7 +111,7 @@
     ) -> Rc<Self> {
         let pool = ConnectionPool::start(settings.pool.clone(), clock.clone());
         let cluster = ClusterState::new(settings.bounds.heartbeat);
-        // 0 stands for no ledger and no book on the wire.
+        // On the wire, 0 stands for no ledger or book.
         let ledger_id = rand::random_range(1..=u64::MAX);
         let book_id = rand::random_range(1..=u64::MAX);
         let zone = settings.zone.clone();
@@ -128,7 +128,7 @@
             budgets: RefCell::default(),
             others: RefCell::default(),
             accounts: AccountGate::new(ledger),
-            end_questions: EndQuestions::default(),
+            end_probes: EndProbes::default(),
             crashes: CrashDesk::new(book_id),
             permits: PermitGate::default(),
             limits: LimitExchange::new(book_id),
@@ -151,7 +151,7 @@
         self.clock.now()
     }
 
-    /// A call of this host to the store is over.
+    /// Records the end of a call to the store.
     pub fn note_store_call(&self, is_answered: bool) {
         if is_answered {
             self.store_heard.set(Some(self.now()));
@@ -159,7 +159,7 @@
         self.note_store_era(self.eras.latest(), "store");
     }
 
-    /// The store, or another host, named an era.
+    /// Records an era that the store or another host stated.
     pub fn note_store_era(&self, era: u32, from: &str) {
         self.eras.note(era);
         let mut cluster = self.cluster.borrow_mut();
@@ -177,7 +177,7 @@
         }
     }
 
-    /// A list was taken: perhaps the last one to be read again after the store was restored.
+    /// Logs when the last of the lists that must be read again after a restore of the store has been applied.
     pub fn note_reread(&self) {
         let mut cluster = self.cluster.borrow_mut();
         if cluster.take_reread_complete() {
@@ -192,27 +192,27 @@
         }
     }
 
-    /// How long ago the store last answered this host, milliseconds; -1 where it never did.
+    /// Returns the time since the store's last response in milliseconds; -1 if there was none.
     pub fn store_heard_ms(&self) -> i64 {
         millis_since(self.store_heard.get(), self.now())
     }
 
-    /// The routes in force, once a configuration is known.
+    /// Returns the active routes; `None` until a configuration is known.
     pub fn routes(&self) -> Option<Rc<RouteTable>> {
         self.cluster.borrow().routes()
     }
 
-    /// Sends a call of the host's own and reads its whole answer.
+    /// Sends a call of this host to a backend server and reads the whole response.
     pub async fn call_backend(
         &self,
         backend: &BackendInfo,
         call: BackendCall,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<(StatusCode, Bytes), SendFailure> {
         let sending = async {
             let answer = self.send_control(backend, call).await?;
             let status = answer.status;
-            let body = answer.body.read(CONTROL_ANSWER_LIMIT).await;
+            let body = answer.body.read(CONTROL_RESPONSE_LIMIT).await;
             let body = body.map_err(|detail| SendFailure {
                 verdict: RunVerdict::MayHaveRun,
                 cause: FailureCause::Broken,
@@ -220,7 +220,7 @@
             })?;
             Ok((status, body))
         };
-        tokio::time::timeout(patience, sending)
+        tokio::time::timeout(timeout, sending)
             .await
             .unwrap_or_else(|_| Err(SendFailure::no_answer_in_time()))
     }
@@ -233,11 +233,11 @@
         let purpose = call.purpose;
         let mut request = Request::new(Full::new(call.body));
         *request.method_mut() = call.method;
-        // Names that backend servers gave stand in paths; one of them may be no part of a path.
+        // Paths contain names that backend servers chose, which may not be valid in a path.
         *request.uri_mut() = call.path.parse().map_err(|error| SendFailure {
             verdict: RunVerdict::NotRun,
             cause: FailureCause::Broken,
-            detail: format!("{:?} is no path: {error}", call.path),
+            detail: format!("invalid path {:?}: {error}", call.path),
         })?;
         let headers = request.headers_mut();
         let host = HeaderValue::from_str(&backend.address.to_string());
@@ -249,7 +249,7 @@
         (self.dialect.set_backend)(headers, &backend.id);
         let sent = self.now();
         let answer = match purpose {
-            // What is held at a server is let go also where it takes no new requests: nobody else can.
+            // Releases resources even at a server that accepts no new requests: no other host can release them.
             PoolUse::Free => {
                 let target = self.pool_target(backend, purpose);
                 self.pool.send(target, request).await?
@@ -262,13 +262,13 @@
     }
 }
 
-// -1 where there is no such time.
+// Returns the milliseconds since `time`; -1 if there is no such time.
 fn millis_since(time: Option<Duration>, now: Duration) -> i64 {
     time.map_or(-1, |time| now.saturating_sub(time).as_millis() as i64)
 }
 
 impl SendFailure {
-    /// How the backend server failed, for the book; none where that was not its doing.
+    /// Returns how the backend server failed; `None` if the server did not cause the failure.
     pub fn kind(&self) -> Option<BackendFailure> {
         match self.cause {
             FailureCause::Broken => Some(BackendFailure::Broken),
@@ -278,11 +278,11 @@
     }
 }
 
-/// A backend server with another run at its address answers so.
+/// The status from a server whose address has been taken over by another run.
 const MISDIRECTED: StatusCode = StatusCode::MISDIRECTED_REQUEST;
 
 impl RelayParts {
-    /// A backend server gave no answer.
+    /// Records a failure of a backend server, and ejects it if it failed too often.
     pub fn note_failure(&self, backend: &BackendInfo, failure: BackendFailure, detail: &str) {
         let now = self.now();
         if !self.book.borrow().is_current(backend) {
@@ -304,7 +304,7 @@
         }
     }
 
-    /// A send to a backend server got no answer.
+    /// Records that a request to a backend server got no response.
     pub fn note_send_failure(&self, backend: &BackendInfo, failure: &SendFailure) {
         if let Some(kind) = failure.kind() {
             return self.note_failure(backend, kind, &failure.detail);
@@ -315,7 +315,7 @@
         log::debug!("{}: {}", backend.id, failure.detail);
     }
 
-    /// A backend server declined a request.
+    /// Records that a backend server declined a request.
     pub fn note_decline(&self, backend: &BackendInfo, status: StatusCode) {
         if status == MISDIRECTED && self.book.borrow().is_current(backend) {
             self.book.borrow_mut().set_leaving(&backend.id);
@@ -324,16 +324,15 @@
     }
 }
 
-/// Longest wait for the answer to a call that frees something; if it is lost, what it would have freed
-/// lapses by itself within two seconds.
-const FREE_PATIENCE: Duration = Duration::from_millis(600);
+/// Timeout of a call that releases resources. If the call is lost, they expire within two seconds anyway.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(600);
 
 impl RelayParts {
-    /// Sends a call that frees something at a backend server; nobody waits for it.
+    /// Sends a call that releases resources at a backend server, in the background.
     pub fn call_later(self: Rc<Self>, backend: BackendInfo, call: BackendCall) {
         tokio::task::spawn_local(async move {
             let path = call.path.clone();
-            if let Err(failure) = self.call_backend(&backend, call, FREE_PATIENCE).await {
+            if let Err(failure) = self.call_backend(&backend, call, RELEASE_TIMEOUT).await {
                 log::debug!("{path} at {} failed: {failure}", backend.id);
             }
         });
@@ -341,7 +340,7 @@
 }
 
 impl RelayParts {
-    /// The metrics as a page, with what is held now.
+    /// Updates the gauges and returns the metrics page.
     pub fn metrics_page(&self) -> String {
         let metrics = &self.metrics;
         let cluster = self.cluster.borrow();
--- a/src/relay/roles/keeper.rs
+++ b/src/relay/roles/keeper.rs
@@ -1,6 +1,6 @@
-//! Keeping the split of engines between prefill and decode, by fenced orders.
+//! Maintains the split of engines between the prefill and decode roles, by orders with fencing tokens.
 //!
-//! One host gives orders at a time: the holder of a lease in the store. Requests do not depend on it.
+//! Only the holder of a lease in the store sends orders. Requests do not depend on the lease.
 
 use {
     crate::{
@@ -20,34 +20,34 @@
     std::{collections::BTreeMap, rc::Rc, time::Duration},
 };
 
-/// How often the split is looked at.
-const LOOK_PERIOD: Duration = Duration::from_millis(500);
+/// Interval between checks of the split.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The lease holds this many times the least time between two holders' orders: a holder stops at 0.8
-/// and a taker waits 1.2 of it, so that 0.4 times 2.75 keep them more than that time apart.
+/// Duration of the lease, as a multiple of the minimum time between the orders of two holders. A holder stops at 0.8 of the
+/// duration and the next one waits for 1.2 of it: 0.4 times 2.75 keeps them more than that minimum apart.
 const LEASE_FACTOR: f64 = 2.75;
 
-/// Longest wait for the answer to an order.
-const ORDER_PATIENCE: Duration = Duration::from_millis(400);
+/// Timeout of an order, and of the query of an engine's report.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long an order may take until the engine is listed in its new role: it finishes what runs.
-const ORDER_TIME: Duration = Duration::from_secs(14);
+/// Time that an engine may take to appear in its new role after an order: it completes running requests first.
+const ROLE_CHANGE_TIME: Duration = Duration::from_secs(14);
 
-/// How long an order that was refused or not answered is not given again.
-const ORDER_PAUSE: Duration = Duration::from_secs(3);
+/// Delay before the next attempt after an engine refused an order or was not ready for one.
+const ORDER_RETRY_DELAY: Duration = Duration::from_secs(3);
 
-/// How long a plan has to stay the same before it is followed, while there are no requests yet.
-const FIRST_SETTLE_TIME: Duration = Duration::from_millis(900);
+/// How long a plan must stay the same before it is carried out, while no requests have arrived.
+const STARTUP_SETTLE_TIME: Duration = Duration::from_millis(900);
 
-/// The same once there are requests: engines that crash are back within a few seconds, sooner than
-/// another has changed its role.
+/// The same once requests have arrived. Crashed engines return within a few seconds, which is faster than a role change of
+/// another engine.
 const SETTLE_TIME: Duration = Duration::from_secs(5);
 
-/// Least changes of a plan that is followed once there are requests: an engine that changes its role
-/// serves nobody for seconds.
-const LEAST_CHANGES: usize = 2;
+/// Minimum number of changes in a plan for it to be carried out once requests have arrived: an engine that changes its role
+/// serves no requests for seconds.
+const CHANGES_MIN: usize = 2;
 
-/// Least time of an imbalance before a host but the first of the list takes care of it.
+/// Additional time for which an imbalance must last before a host acts, for each host before it in the order of names.
 const NEXT_HOST_DELAY: Duration = Duration::from_millis(2_500);
 
 /// Name of the lease.
@@ -57,16 +57,16 @@
     parts: Rc<RelayParts>,
     store: Rc<StoreLink>,
     lease: LeaseKeeper,
-    // Restores of the store that the lease has been through.
+    // Number of store restores that the lease state accounts for.
     restores: u32,
-    // When each engine may be ordered again.
-    ordered: BTreeMap<FastStr, Duration>,
-    // Engines to change as of the last look, and since when the same.
+    // When each engine may receive another order.
+    next_order_at: BTreeMap<FastStr, Duration>,
+    // Engines to change as of the last check, and since when the plan is the same.
     plan: Vec<FastStr>,
     unbalanced_since: Option<Duration>,
 }
 
-/// Looks at the split for as long as the host runs, and corrects it while this host holds the lease.
+/// Checks the split until the host stops, and corrects it while this host holds the lease.
 pub async fn keep_roles(parts: Rc<RelayParts>, store: Rc<StoreLink>) {
     let own = FastStr::from_string(format!("{}/{:08x}", parts.name(), rand::random::<u32>()));
     let time = parts.settings.bounds.lease_time.mul_f64(LEASE_FACTOR);
@@ -75,35 +75,35 @@
         restores: 0,
         parts,
         store,
-        ordered: BTreeMap::new(),
+        next_order_at: BTreeMap::new(),
         plan: Vec::new(),
         unbalanced_since: None,
     };
     loop {
-        tokio::time::sleep(LOOK_PERIOD).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
         if keeper.parts.gate.is_stopping() {
             return;
         }
-        if let Err(failure) = keeper.look().await {
-            log::debug!("the lease of the engines' roles: {failure}");
+        if let Err(failure) = keeper.check_split().await {
+            log::debug!("lease for engine roles: {failure}");
         }
     }
 }
 
 impl RoleKeeper {
-    async fn look(&mut self) -> Result<(), StoreFailure> {
-        self.note_restores();
+    async fn check_split(&mut self) -> Result<(), StoreFailure> {
+        self.check_restores();
         let now = self.parts.now();
-        let changes = self.due_changes(now);
-        let (least, settle) = match self.parts.has_served() {
-            true => (LEAST_CHANGES, SETTLE_TIME),
-            false => (1, FIRST_SETTLE_TIME),
+        let changes = self.pending_changes(now);
+        let (min_changes, settle) = match self.parts.has_served() {
+            true => (CHANGES_MIN, SETTLE_TIME),
+            false => (1, STARTUP_SETTLE_TIME),
         };
-        if changes.len() < least {
+        if changes.len() < min_changes {
             self.unbalanced_since = None;
             return Ok(());
         }
-        // Engines are listed one after the other at the start: a plan is followed once it stays.
+        // Engines are listed one after the other at startup: a plan is carried out once it is stable.
         let plan: Vec<FastStr> = changes
             .iter()
             .map(|change| change.engine.id.clone())
@@ -113,18 +113,19 @@
             self.unbalanced_since = Some(now);
         }
         let since = *self.unbalanced_since.get_or_insert(now);
-        if now - since < settle + self.turn_delay() {
+        if now - since < settle + self.start_delay() {
             return Ok(());
         }
-        self.step_lease().await?;
+        self.update_lease().await?;
         for change in changes {
-            self.give_order(change).await;
+            self.send_order(change).await;
         }
         Ok(())
     }
 
-    // Leases are among what a restored store may have lost. Gives whether it was restored since the last look.
-    fn note_restores(&mut self) -> bool {
+    // A restored store may have lost leases: blocks orders until any lost lease has expired. Returns whether the store was restored
+    // since the last call.
+    fn check_restores(&mut self) -> bool {
         let restores = self.parts.cluster.borrow().restores();
         if restores == self.restores {
             return false;
@@ -134,21 +135,21 @@
         true
     }
 
-    // The lease as it may be used at a time.
+    // The lease of this host, if it is valid at `time`.
     fn lease_at(&mut self, time: Duration) -> Option<FencedLease> {
-        self.note_restores();
+        self.check_restores();
         self.lease.held(time)
     }
 
-    // Hosts take their turn in the order of their names, so that not all of them try at once.
-    fn turn_delay(&self) -> Duration {
+    // Hosts act in the order of their names, so that they don't all try to take the lease at the same time.
+    fn start_delay(&self) -> Duration {
         let own = self.parts.name();
         let cluster = self.parts.cluster.borrow();
         let before = cluster.hosts().filter(|entry| entry.name < own).count();
         NEXT_HOST_DELAY * before as u32
     }
 
-    fn due_changes(&self, now: Duration) -> Vec<RoleChange> {
+    fn pending_changes(&self, now: Duration) -> Vec<RoleChange> {
         let Some(routes) = self.parts.routes() else {
             return Vec::new();
         };
@@ -170,23 +171,23 @@
             changes.extend(plan(&engines));
         }
         changes.retain(|change| {
-            let due = self.ordered.get(&change.engine.id);
-            due.is_none_or(|due| now >= *due)
+            let next = self.next_order_at.get(&change.engine.id);
+            next.is_none_or(|at| now >= *at)
         });
         changes
     }
 
-    async fn step_lease(&mut self) -> Result<(), StoreFailure> {
+    async fn update_lease(&mut self) -> Result<(), StoreFailure> {
         self.count_call();
         let seen = self.read_lease().await?;
-        self.note_restores();
+        self.check_restores();
         let Some(write) = self.lease.read(seen, self.parts.now()) else {
             return Ok(());
         };
         self.count_call();
         match (self.store.put)(StoreKind::Leases, lease_item(&write)).await {
             Ok(position) => {
-                if self.note_restores() {
+                if self.check_restores() {
                     return Ok(());
                 }
                 let version = position.number();
@@ -197,7 +198,7 @@
                 Ok(())
             }
             Err(failure) => {
-                // Also a write whose answer was lost: the next reading shows whose it is.
+                // The write may have succeeded and only its response be lost: the next read shows the holder.
                 self.lease.lost();
                 Err(failure)
             }
@@ -218,31 +219,31 @@
                 version: position.number(),
                 spec,
             }),
-            Ok(_) => Err(StoreFailure::Refused("not a lease".into())),
+            Ok(_) => Err(StoreFailure::Refused("the entry is not a lease".into())),
             Err(StoreFailure::NotFound) => Ok(SeenLease::default()),
             Err(failure) => Err(failure),
         }
     }
 
-    // The list of engines does not follow the count of orders taken, so the engine itself is asked.
+    // Queries the engine itself, because its entry in the store does not include the number of orders taken.
     async fn read_report(&self, engine: &BackendInfo) -> Option<EngineReport> {
         let engines = &self.parts.dialect.engines;
         let call = (engines.query_report)();
-        let answer = self.parts.call_backend(engine, call, ORDER_PATIENCE).await;
+        let answer = self.parts.call_backend(engine, call, ORDER_TIMEOUT).await;
         match answer {
             Ok((StatusCode::OK, body)) => (engines.read_report)(&body),
             Ok((status, _)) => {
-                log::warn!("engine {} gave no report: status {status}", engine.id);
+                log::warn!("no report from engine {}: status {status}", engine.id);
                 None
             }
             Err(failure) => {
-                log::warn!("engine {} gave no report: {failure}", engine.id);
+                log::warn!("no report from engine {}: {failure}", engine.id);
                 None
             }
         }
     }
 
-    async fn give_order(&mut self, change: RoleChange) {
+    async fn send_order(&mut self, change: RoleChange) {
         let now = self.parts.now();
         if self.lease_at(now).is_none() {
             return;
@@ -251,12 +252,12 @@
         let due = |report: &EngineReport| !report.is_busy && report.role != Some(change.role);
         let Some(report) = report.filter(due) else {
             let engine = change.engine.id.clone();
-            self.ordered.insert(engine, now + ORDER_PAUSE);
+            self.next_order_at.insert(engine, now + ORDER_RETRY_DELAY);
             return;
         };
         let now = self.parts.now();
-        // The order has to arrive while the lease holds.
-        let Some(lease) = self.lease_at(now + ORDER_PATIENCE) else {
+        // The order must arrive while the lease is valid.
+        let Some(lease) = self.lease_at(now + ORDER_TIMEOUT) else {
             return;
         };
         let order = RoleOrder {
@@ -268,20 +269,26 @@
         let call = (self.parts.dialect.engines.order_role)(&order);
         let answer = self
             .parts
-            .call_backend(&change.engine, call, ORDER_PATIENCE)
+            .call_backend(&change.engine, call, ORDER_TIMEOUT)
             .await;
         let (pause, outcome) = match &answer {
-            Ok((StatusCode::OK | StatusCode::ACCEPTED, _)) => (ORDER_TIME, "taken".to_owned()),
+            Ok((StatusCode::OK | StatusCode::ACCEPTED, _)) => {
+                (ROLE_CHANGE_TIME, "taken".to_owned())
+            }
             Ok((StatusCode::PRECONDITION_FAILED, _)) => {
                 self.lease.lost();
-                (ORDER_TIME, "a newer holder is at work".to_owned())
+                (
+                    ROLE_CHANGE_TIME,
+                    "rejected: the lease has a newer holder".to_owned(),
+                )
             }
-            Ok((status, _)) => (ORDER_PAUSE, format!("status {status}")),
-            // It may have been taken, or may be carried out late; its count makes a second one void.
-            Err(failure) => (ORDER_TIME, failure.to_string()),
+            Ok((status, _)) => (ORDER_RETRY_DELAY, format!("status {status}")),
+            // The engine may have accepted the order, or may carry it out later. The number of orders taken, which each order
+            // names, makes a second one void.
+            Err(failure) => (ROLE_CHANGE_TIME, failure.to_string()),
         };
         let engine = change.engine.id.clone();
-        self.ordered.insert(engine.clone(), now + pause);
+        self.next_order_at.insert(engine.clone(), now + pause);
         event::emit(
             &event::ORDER_SENT,
             &[
--- a/src/relay/roles/mod.rs
+++ b/src/relay/roles/mod.rs
@@ -1,5 +1,5 @@
-//! Keeping the split of engines between prefill and decode, by orders under a lease.
-//! Which engines change is decided in `policy`.
+//! Maintains the split of engines between the prefill and decode roles, by orders under a lease.
+//! `policy` decides which engines change their role.
 
 pub(crate) mod keeper;
 
