--- a/src/relay/host.rs
+++ b/src/relay/host.rs
@@ -153,8 +153,8 @@
             permits: Box::new(move |ask, is_passed_on| {
                 permits.clone().answer(ask, is_passed_on).boxed_local()
             }),
-            charges: Box::new(move |account, units| charge_parts.answer_charge(account, units)),
-            sums: Box::new(move |theirs| sums_parts.answer_sums(&theirs)),
+            charges: Box::new(move |account, units| charge_parts.charge_ledger(account, units)),
+            sums: Box::new(move |theirs| sums_parts.exchange_sums(&theirs)),
             findings: Box::new(move |told, is_zone| findings.take_told(&told, is_zone)),
             trials: Box::new(move |digest| trial_parts.grant_trial(digest)),
             news: Box::new(move |held| news::tell_news(parts.clone(), held).boxed_local()),
--- a/src/relay/news/settle.rs
+++ b/src/relay/news/settle.rs
@@ -7,7 +7,7 @@
         relay::{
             critical_task,
             link::HostEntry,
-            parts::{accounts::LedgerAsk, shared::RelayParts},
+            parts::{accounts::LedgerQuery, shared::RelayParts},
         },
     },
     futures::{FutureExt, future},
@@ -41,7 +41,9 @@
             links,
             targets: ZoneTargets::default(),
         });
-        link.parts.accounts.set_ask(link.clone().ledger_ask());
+        link.parts
+            .accounts
+            .set_ledger_query(link.clone().ledger_query());
         critical_task::spawn_critical("zones of the ledger", link.clone().follow_zones());
         critical_task::spawn_critical("ledger of accounts", link.run());
     }
@@ -50,12 +52,12 @@
     async fn follow_zones(self: Rc<Self>) {
         loop {
             self.parts.news.notified().await;
-            self.parts.keep_books();
+            self.parts.update_ledger();
         }
     }
 
     // The head of the zone keeps its books.
-    fn ledger_ask(self: Rc<Self>) -> Rc<LedgerAsk> {
+    fn ledger_query(self: Rc<Self>) -> Rc<LedgerQuery> {
         Rc::new(move |account, units, patience| {
             let head = self.follower.head()?;
             let links = self.links.clone();
@@ -74,7 +76,7 @@
 
     // A host that was never told anything has no reason to wait for this one.
     fn pass_over_unheard(&self, head: &HostEntry) {
-        if self.parts.is_untold_of_use() {
+        if self.parts.lacks_account_data() {
             self.follower.note_unreported(&head.name);
         }
     }
@@ -82,8 +84,8 @@
     async fn run(self: Rc<Self>) {
         for turn in 0_u32.. {
             tokio::time::sleep(SETTLE_PERIOD).await;
-            self.parts.keep_books();
-            let Some(sums) = self.parts.sums_to_tell(turn.is_multiple_of(WHOLE_PERIOD)) else {
+            self.parts.update_ledger();
+            let Some(sums) = self.parts.sums_to_send(turn.is_multiple_of(WHOLE_PERIOD)) else {
                 continue;
             };
             let told = self.targets().into_iter();
@@ -107,7 +109,7 @@
         let now = self.parts.now();
         self.targets.note(&entry.name, answer.is_ok(), now);
         match answer {
-            Ok(theirs) => self.parts.take_sums(&theirs),
+            Ok(theirs) => self.parts.merge_sums(&theirs),
             Err(error) => log::debug!("host {} took no sums: {error}", entry.name),
         }
     }
--- a/src/relay/news/share.rs
+++ b/src/relay/news/share.rs
@@ -96,7 +96,7 @@
 
     fn answer_accounts(&self, reporter: &LoadReporter, report: &UseReport) -> UseReport {
         match reporter {
-            LoadReporter::Host(_) => self.parts.answer_uses(&report.uses),
+            LoadReporter::Host(_) => self.parts.record_uses(&report.uses),
             LoadReporter::Zone(_) => UseReport::default(),
         }
     }
@@ -165,7 +165,7 @@
             Err(error) => {
                 log::debug!("host {} took no report: {error}", entry.name);
                 self.follower.note_unreported(&entry.name);
-                self.parts.put_back_uses(uses);
+                self.parts.restore_uses(uses);
             }
         }
     }
--- a/src/relay/parts/accounts.rs
+++ b/src/relay/parts/accounts.rs
@@ -36,11 +36,11 @@
 const LEDGER_QUERY_ATTEMPTS: usize = 2;
 
 /// A ledger's decision on a charge: admitted, or the delay before a retry. `None` if the ledger did not answer.
-pub type ChargeAnswer = Option<Result<(), Duration>>;
+pub type ChargeDecision = Option<Result<(), Duration>>;
 
 /// Queries the host that owns the zone's ledger; `None` if that is this host or if the owner is unknown.
-pub type LedgerAsk =
-    dyn Fn(AccountKey, u32, Duration) -> Option<LocalBoxFuture<'static, ChargeAnswer>>;
+pub type LedgerQuery =
+    dyn Fn(AccountKey, u32, Duration) -> Option<LocalBoxFuture<'static, ChargeDecision>>;
 
 /// The units charged to an account for a request.
 #[derive(Debug, Clone, Copy)]
@@ -54,7 +54,7 @@
 pub struct AccountGate {
     allowances: RefCell<AllowanceDesk>,
     ledger: RefCell<ZoneLedger>,
-    ask: RefCell<Option<Rc<LedgerAsk>>>,
+    query: RefCell<Option<Rc<LedgerQuery>>>,
 }
 
 impl fmt::Debug for AccountGate {
@@ -68,13 +68,13 @@
         Self {
             allowances: RefCell::default(),
             ledger: RefCell::new(ledger),
-            ask: RefCell::default(),
+            query: RefCell::default(),
         }
     }
 
     /// Sets the function that queries the owner of the zone's ledger.
-    pub fn set_ask(&self, ask: Rc<LedgerAsk>) {
-        *self.ask.borrow_mut() = Some(ask);
+    pub fn set_ledger_query(&self, query: Rc<LedgerQuery>) {
+        *self.query.borrow_mut() = Some(query);
     }
 }
 
@@ -118,7 +118,7 @@
 
     /// Charges a request of `tokens` tokens to its account, or refuses it if the account is over its limit. `target` is
     /// the latency target of the request. Returns `None` if the account has no limit.
-    pub async fn let_in(
+    pub async fn admit(
         &self,
         account: &ClientAccount,
         tokens: u64,
@@ -199,10 +199,10 @@
         charge: UseCharge,
         limit: AccountLimit,
         patience: Duration,
-    ) -> Result<ChargeAnswer, f64> {
-        let ask = self.accounts.ask.borrow().clone();
+    ) -> Result<ChargeDecision, f64> {
+        let call = self.accounts.query.borrow().clone();
         let units = charge.units.round() as u32;
-        let query = ask.and_then(|ask| ask(charge.account, units, patience));
+        let query = call.and_then(|call| call(charge.account, units, patience));
         let Some(query) = query else {
             // While the hosts are unknown, any of them may own the ledger: if each decided by its own copy, each would
             // admit the whole remainder of a limit.
@@ -232,12 +232,12 @@
     }
 
     /// Returns whether this host has received no data on the use of accounts yet.
-    pub fn is_untold_of_use(&self) -> bool {
+    pub fn lacks_account_data(&self) -> bool {
         self.accounts.allowances.borrow().is_untold()
     }
 
     /// Refunds the charge for a request that was admitted but certainly did not run.
-    pub fn give_back(&self, account: &FastStr, charge: UseCharge) {
+    pub fn refund(&self, account: &FastStr, charge: UseCharge) {
         self.metrics
             .limited(account, charge.units, LimitEnd::GivenBack);
         let mut allowances = self.accounts.allowances.borrow_mut();
@@ -245,17 +245,17 @@
     }
 
     /// Takes the units that this host admitted without the ledger since its last report.
-    pub fn untold_uses(&self) -> Vec<AccountUse> {
+    pub fn take_unreported_uses(&self) -> Vec<AccountUse> {
         self.accounts.allowances.borrow_mut().take_untold()
     }
 
     /// Puts back units from a report that was not delivered.
-    pub fn put_back_uses(&self, uses: Vec<AccountUse>) {
+    pub fn restore_uses(&self, uses: Vec<AccountUse>) {
         self.accounts.allowances.borrow_mut().put_back(uses);
     }
 
     /// Applies a report from the owner of the zone's ledger.
-    pub fn take_near(&self, report: &UseReport) {
+    pub fn apply_use_report(&self, report: &UseReport) {
         let mut allowances = self.accounts.allowances.borrow_mut();
         allowances.set_near(report.near.as_deref(), self.now());
     }
@@ -270,7 +270,7 @@
 impl RelayParts {
     /// Records in the ledger the units that a host of the zone admitted by itself, and returns the accounts near their
     /// limits, for which that host must query the ledger. The host may be this one.
-    pub fn answer_uses(&self, uses: &[AccountUse]) -> UseReport {
+    pub fn record_uses(&self, uses: &[AccountUse]) -> UseReport {
         let now = self.now();
         let near = with_accounts(self, |accounts| {
             let mut ledger = self.accounts.ledger.borrow_mut();
@@ -295,7 +295,7 @@
     /// Starting hosts query hosts that may not know any account yet. Admitting those requests without recording them let
     /// through a million units at once under a limit of a thousand per second
     /// (platform/tests/on_platform/accounts.rs).
-    pub fn answer_charge(&self, account: AccountKey, units: u32) -> Option<Result<(), Duration>> {
+    pub fn charge_ledger(&self, account: AccountKey, units: u32) -> Option<Result<(), Duration>> {
         let now = self.now();
         let answer = with_accounts(self, |accounts| {
             let limit = accounts.account(account)?.limit?;
@@ -307,7 +307,7 @@
     }
 
     /// Merges the sums of another ledger; returns this host's own and those it received recently.
-    pub fn answer_sums(&self, theirs: &LedgerSums) -> Vec<LedgerSums> {
+    pub fn exchange_sums(&self, theirs: &LedgerSums) -> Vec<LedgerSums> {
         let now = self.now();
         let near = self.near_accounts();
         let answer = with_accounts(self, |accounts| {
@@ -322,7 +322,7 @@
     }
 
     /// Merges the sums of other ledgers.
-    pub fn take_sums(&self, all: &[LedgerSums]) {
+    pub fn merge_sums(&self, all: &[LedgerSums]) {
         let now = self.now();
         with_accounts(self, |accounts| {
             let mut ledger = self.accounts.ledger.borrow_mut();
@@ -345,7 +345,7 @@
 
     /// Returns the sums of this host's ledger to send now, for all accounts if `is_whole`; `None` if no host relies on
     /// this ledger or if there is nothing to send.
-    pub fn sums_to_tell(&self, is_whole: bool) -> Option<LedgerSums> {
+    pub fn sums_to_send(&self, is_whole: bool) -> Option<LedgerSums> {
         let now = self.now();
         let near = self.near_accounts();
         let mut ledger = self.accounts.ledger.borrow_mut();
@@ -358,7 +358,7 @@
 
     /// Updates the ledger with the zones that have hosts, and removes stale ledgers and accounts that are no longer
     /// configured.
-    pub fn keep_books(&self) {
+    pub fn update_ledger(&self) {
         let own = &self.settings.zone;
         let cluster = self.cluster.borrow();
         let zones = cluster.hosts().map(|entry| entry.zone.clone());
--- a/src/relay/parts/shares.rs
+++ b/src/relay/parts/shares.rs
@@ -184,7 +184,7 @@
             demands: demands.collect(),
             wanted: self.wanted_keys(),
             accounts: UseReport {
-                uses: self.untold_uses(),
+                uses: self.take_unreported_uses(),
                 ..UseReport::default()
             },
             is_store_lost: false,
@@ -202,7 +202,7 @@
     /// Applies the combined report of all other hosts.
     pub fn take_others(&self, report: LoadReport) {
         let now = self.now();
-        self.take_near(&report.accounts);
+        self.apply_use_report(&report.accounts);
         self.book.borrow_mut().set_others(&report.loads, now);
         *self.others.borrow_mut() = OthersDemand {
             demands: report.demands,
--- a/src/relay/request/handler.rs
+++ b/src/relay/request/handler.rs
@@ -102,7 +102,7 @@
     if let (Err(refusal), Some(account), Some(charge)) = (&answer, account, charge)
         && refusal.verdict == RunVerdict::NotRun
     {
-        parts.give_back(&account.name, charge);
+        parts.refund(&account.name, charge);
     }
     // In progress until the caller has its last byte.
     Ok(answer?.map(|body| answer::kept_with(body, entry)))
@@ -115,7 +115,7 @@
     };
     let tokens = call.marks.prompt_tokens + call.marks.answer_limit;
     let target = call.route.latency_target;
-    parts.let_in(account, tokens, target).await
+    parts.admit(account, tokens, target).await
 }
 
 // A caller that was refused before is known by the time that it still has.
