--- a/src/relay/host.rs
+++ b/src/relay/host.rs
@@ -288,7 +288,7 @@
         _ if path != parts.settings.ready_path => page(404, "no such page"),
         _ if parts.gate.is_stopping() => page(503, "stopping"),
         _ if parts.routes().is_none() => page(503, "no configuration yet"),
-        _ if !parts.knows_crashes() => page(503, "not told yet which requests end servers"),
+        _ if !parts.has_crash_records() => page(503, "not told yet which requests end servers"),
         _ => page(200, "ready"),
     }
 }
--- a/src/relay/news/entry.rs
+++ b/src/relay/news/entry.rs
@@ -99,7 +99,7 @@
             tokio::pin!(news);
             news.as_mut().enable();
             // What an earlier run's entry keeps is taken over first.
-            if parts.cluster.borrow().hosts_position().is_known() && parts.knows_crashes() {
+            if parts.cluster.borrow().hosts_position().is_known() && parts.has_crash_records() {
                 return;
             }
             news.await;
--- a/src/relay/news/findings.rs
+++ b/src/relay/news/findings.rs
@@ -71,7 +71,7 @@
             true => MarkSource::Told,
             false => MarkSource::Reported,
         };
-        self.parts.take_marks(&findings.crashes, source);
+        self.parts.merge_crash_marks(&findings.crashes, source);
         self.parts.take_limits(&findings.limits, source);
     }
 
@@ -89,7 +89,7 @@
             told: RefCell::default(),
         });
         let asking = share.clone();
-        share.parts.crashes.set_trial_ask(Rc::new(move |digest| {
+        share.parts.crashes.set_trial_query(Rc::new(move |digest| {
             asking.clone().ask_trial(digest).boxed_local()
         }));
         critical_task::spawn_critical("findings", share.clone().run());
@@ -127,7 +127,7 @@
         let held = self.follower.held(entry.peers, Duration::ZERO, false);
         match self.links.follow(entry.peers, held, LEARN_PATIENCE).await {
             Ok(news) => {
-                self.parts.take_crash_news(&news.crashes, entry.peers);
+                self.parts.merge_crash_news(&news.crashes, entry.peers);
                 self.parts.take_limit_updates(&news.limits, entry.peers);
             }
             Err(error) => log::debug!("host {} told of no findings: {error}", entry.name),
--- a/src/relay/news/follow.rs
+++ b/src/relay/news/follow.rs
@@ -275,8 +275,8 @@
             is_starting: false,
             zone: self.parts.settings.zone.clone(),
             peers: Some(self.parts.settings.peers),
-            crashes: self.parts.crashes.place_at(address),
-            limits: self.parts.limits.place_at(address),
+            crashes: self.parts.crashes.received_position(address),
+            limits: self.parts.limits.received_position(address),
         }
     }
 
--- a/src/relay/news/store_news.rs
+++ b/src/relay/news/store_news.rs
@@ -59,7 +59,7 @@
                 let mut cluster = self.parts.cluster.borrow_mut();
                 let is_taken = cluster.set_hosts(hosts, position, now);
                 drop(cluster);
-                self.parts.note_hosts();
+                self.parts.handle_host_change();
                 self.parts.news.notify_waiters();
                 is_taken
             }
@@ -95,7 +95,7 @@
                 cluster.change_hosts(changes, position);
                 drop(cluster);
                 if is_news {
-                    self.parts.note_hosts();
+                    self.parts.handle_host_change();
                     self.parts.news.notify_waiters();
                 }
             }
--- a/src/relay/news/take.rs
+++ b/src/relay/news/take.rs
@@ -17,7 +17,7 @@
         let proved = news.proved(asked);
         let told = news.backends.position.max(news.hosts.position);
         self.parts.note_store_era(told.era, "host");
-        self.parts.take_crash_news(&news.crashes, from);
+        self.parts.merge_crash_news(&news.crashes, from);
         self.parts.take_limit_updates(&news.limits, from);
         self.take_lists(&news, confirmed);
         let held = self.parts.cluster.borrow().config_version();
@@ -59,7 +59,7 @@
         let has_changed = cluster.backend_update_count() != before;
         drop(cluster);
         if news.hosts.is_whole || !news.hosts.changes.is_empty() {
-            self.parts.note_hosts();
+            self.parts.handle_host_change();
         }
         if has_changed {
             self.parts.publish_backends();
--- a/src/relay/parts/crashes.rs
+++ b/src/relay/parts/crashes.rs
@@ -34,41 +34,41 @@
 const KEPT_JUDGEMENTS_MAX: usize = 8;
 
 /// Asks the host that grants trials of a request whether it may be tried.
-pub type TrialAsk = dyn Fn(RequestDigest) -> LocalBoxFuture<'static, bool>;
+pub type TrialQuery = dyn Fn(RequestDigest) -> LocalBoxFuture<'static, bool>;
 
 /// This host's records of fatal requests, and the state of their exchange with other hosts.
-pub struct CrashDesk {
+pub struct CrashRecords {
     book: RefCell<CrashBook>,
     // Fatal requests that this host's entry in the store keeps.
     kept: RefCell<BTreeSet<RequestDigest>>,
     // Position up to which this host has received the records of each other host, by its address.
-    told: RefCell<HashMap<SocketAddr, CachePosition>>,
+    received: RefCell<HashMap<SocketAddr, CachePosition>>,
     // Whether this host has received the records of another host, or, where none could send them, those in the store.
     has_learned: Cell<bool>,
-    trial_ask: RefCell<Option<Rc<TrialAsk>>>,
+    trial_query: RefCell<Option<Rc<TrialQuery>>>,
 }
 
-impl fmt::Debug for CrashDesk {
+impl fmt::Debug for CrashRecords {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "CrashDesk({} requests)", self.book.borrow().len())
+        write!(f, "CrashRecords({} requests)", self.book.borrow().len())
     }
 }
 
-impl CrashDesk {
+impl CrashRecords {
     /// Creates empty records; `id` is random.
     pub fn new(id: u64) -> Self {
         Self {
             book: RefCell::new(CrashBook::new(id)),
             kept: RefCell::default(),
-            told: RefCell::default(),
+            received: RefCell::default(),
             has_learned: Cell::default(),
-            trial_ask: RefCell::default(),
+            trial_query: RefCell::default(),
         }
     }
 
     /// Sets the function that asks other hosts for trials.
-    pub fn set_trial_ask(&self, ask: Rc<TrialAsk>) {
-        *self.trial_ask.borrow_mut() = Some(ask);
+    pub fn set_trial_query(&self, query: Rc<TrialQuery>) {
+        *self.trial_query.borrow_mut() = Some(query);
     }
 
     /// Returns whether there are no records. Requests need no digest then.
@@ -82,8 +82,8 @@
     }
 
     /// Returns the position up to which this host has received the records of the host at an address.
-    pub fn place_at(&self, address: SocketAddr) -> CachePosition {
-        self.told
+    pub fn received_position(&self, address: SocketAddr) -> CachePosition {
+        self.received
             .borrow()
             .get(&address)
             .copied()
@@ -91,8 +91,8 @@
     }
 
     // Removes the positions of hosts that are no longer listed.
-    fn keep_told(&self, is_listed: impl Fn(&SocketAddr) -> bool) {
-        self.told
+    fn retain_listed(&self, is_listed: impl Fn(&SocketAddr) -> bool) {
+        self.received
             .borrow_mut()
             .retain(|address, _| is_listed(address));
     }
@@ -100,7 +100,7 @@
 
 impl RelayParts {
     /// Returns the judgement on a request and records that the request arrived.
-    pub fn judge(&self, digest: RequestDigest) -> CrashJudgement {
+    pub fn judge_request(&self, digest: RequestDigest) -> CrashJudgement {
         let now = self.now();
         let mut book = self.crashes.book.borrow_mut();
         let judgement = book.judge(digest, now);
@@ -111,7 +111,7 @@
     }
 
     /// Records that a backend server crashed while it ran a request.
-    pub fn note_end(&self, digest: RequestDigest, backend: &BackendInfo) {
+    pub fn record_crash(&self, digest: RequestDigest, backend: &BackendInfo) {
         let run = EngineKey::of_run(&backend.id, backend.born);
         let change = {
             let mut book = self.crashes.book.borrow_mut();
@@ -121,7 +121,7 @@
     }
 
     /// Records that a request completed successfully.
-    pub fn note_good_run(&self, digest: impl FnOnce() -> RequestDigest) {
+    pub fn record_success(&self, digest: impl FnOnce() -> RequestDigest) {
         if self.crashes.is_empty() {
             return;
         }
@@ -151,10 +151,10 @@
     }
 
     /// Asks the host that grants trials of a request whether it may be tried.
-    pub async fn ask_trial(&self, digest: RequestDigest) -> bool {
-        let ask = self.crashes.trial_ask.borrow().clone();
-        match ask {
-            Some(ask) => ask(digest).await,
+    pub async fn request_trial(&self, digest: RequestDigest) -> bool {
+        let query = self.crashes.trial_query.borrow().clone();
+        match query {
+            Some(query) => query(digest).await,
             None => self.grant_trial(digest),
         }
     }
@@ -171,7 +171,7 @@
     }
 
     /// Merges records from another host.
-    pub fn take_marks(&self, marks: &[CrashMark], source: MarkSource) {
+    pub fn merge_crash_marks(&self, marks: &[CrashMark], source: MarkSource) {
         if marks.is_empty() {
             return;
         }
@@ -215,11 +215,11 @@
     }
 
     /// Updates state that depends on the list of hosts, after it has changed.
-    pub fn note_hosts(&self) {
+    pub fn handle_host_change(&self) {
         let cluster = self.cluster.borrow();
         let is_listed = |address: &SocketAddr| cluster.hosts().any(|entry| entry.peers == *address);
-        self.crashes.keep_told(is_listed);
-        self.limits.keep_told(is_listed);
+        self.crashes.retain_listed(is_listed);
+        self.limits.retain_listed(is_listed);
         drop(cluster);
         self.adopt_judgements();
         self.mark_all_own();
@@ -256,7 +256,7 @@
                 own.for_each(|mark| self.keep_judgement(mark.digest));
             }
             if !self.crashes.has_learned.get() {
-                self.take_marks(&marks, MarkSource::Told);
+                self.merge_crash_marks(&marks, MarkSource::Told);
             }
         }
         self.crashes.has_learned.set(true);
@@ -264,12 +264,12 @@
     }
 
     /// Merges the records that the host at an address sent in an update.
-    pub fn take_crash_news(&self, news: &CrashNews, from: SocketAddr) {
-        self.take_marks(&news.marks, MarkSource::Told);
+    pub fn merge_crash_news(&self, news: &CrashNews, from: SocketAddr) {
+        self.merge_crash_marks(&news.marks, MarkSource::Told);
         if news.place.book == 0 {
             return;
         }
-        self.crashes.told.borrow_mut().insert(from, news.place);
+        self.crashes.received.borrow_mut().insert(from, news.place);
         self.crashes.has_learned.set(true);
     }
 
@@ -293,7 +293,7 @@
     }
 
     /// Returns whether this host knows the fatal requests as far as any other host could send them.
-    pub fn knows_crashes(&self) -> bool {
+    pub fn has_crash_records(&self) -> bool {
         self.crashes.has_learned.get() || !self.cluster.borrow().hosts_position().is_known()
     }
 
--- a/src/relay/parts/server_limits.rs
+++ b/src/relay/parts/server_limits.rs
@@ -54,7 +54,7 @@
 pub struct LimitExchange {
     news: RefCell<LimitUpdates>,
     // Position up to which this host has received the updates of each other host, by its address.
-    told: RefCell<HashMap<SocketAddr, CachePosition>>,
+    received: RefCell<HashMap<SocketAddr, CachePosition>>,
 }
 
 impl LimitExchange {
@@ -62,20 +62,20 @@
     pub(super) fn new(id: u64) -> Self {
         Self {
             news: RefCell::new(LimitUpdates::new(id)),
-            told: RefCell::default(),
+            received: RefCell::default(),
         }
     }
 
     /// Returns the position up to which this host has received the limits of the host at an address.
-    pub fn place_at(&self, address: SocketAddr) -> CachePosition {
-        let told = self.told.borrow();
-        told.get(&address).copied().unwrap_or_default()
+    pub fn received_position(&self, address: SocketAddr) -> CachePosition {
+        let received = self.received.borrow();
+        received.get(&address).copied().unwrap_or_default()
     }
 
     // Removes the positions of hosts that are no longer listed.
-    pub(super) fn keep_told(&self, is_listed: impl Fn(&SocketAddr) -> bool) {
-        let mut told = self.told.borrow_mut();
-        told.retain(|address, _| is_listed(address));
+    pub(super) fn retain_listed(&self, is_listed: impl Fn(&SocketAddr) -> bool) {
+        let mut received = self.received.borrow_mut();
+        received.retain(|address, _| is_listed(address));
     }
 }
 
@@ -265,7 +265,7 @@
     pub fn take_limit_updates(&self, news: &CacheUpdates<LimitUpdate>, from: SocketAddr) {
         self.take_limits(&news.marks, MarkSource::Told);
         if news.place.book != 0 {
-            self.limits.told.borrow_mut().insert(from, news.place);
+            self.limits.received.borrow_mut().insert(from, news.place);
         }
     }
 
--- a/src/relay/parts/shared.rs
+++ b/src/relay/parts/shared.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         accounts::AccountGate,
-        crashes::CrashDesk,
+        crashes::CrashRecords,
         ends::EndProbes,
         metrics::RelayMetrics,
         permits::PermitGate,
@@ -71,7 +71,7 @@
     /// Running probes that detect whether backend servers have ended.
     pub(super) end_probes: EndProbes,
     /// Fatal requests, under which backend servers crash.
-    pub crashes: CrashDesk,
+    pub crashes: CrashRecords,
     /// The exchange of server limits with other hosts.
     pub limits: LimitExchange,
     /// Permits for rate-limited backend servers.
@@ -129,7 +129,7 @@
             others: RefCell::default(),
             accounts: AccountGate::new(ledger),
             end_probes: EndProbes::default(),
-            crashes: CrashDesk::new(book_id),
+            crashes: CrashRecords::new(book_id),
             permits: PermitGate::default(),
             limits: LimitExchange::new(book_id),
             waits: RefCell::default(),
--- a/src/relay/request/guard.rs
+++ b/src/relay/request/guard.rs
@@ -69,7 +69,7 @@
     /// The answer that was being passed on came to an end.
     pub(super) fn note_chunk_end(&self, call: &RelayCall, end: ChunkEnd) {
         match end {
-            ChunkEnd::Whole => self.parts.note_good_run(|| call.digest()),
+            ChunkEnd::Whole => self.parts.record_success(|| call.digest()),
             ChunkEnd::Broken => drop(self.note_break(call)),
             ChunkEnd::TimeLimit => {}
         }
@@ -120,7 +120,7 @@
     async fn learn(self, parts: Rc<RelayParts>) {
         if parts.has_ended(&self.backend).await {
             parts.metrics.ended_under(&self.backend.service);
-            parts.note_end(self.digest, &self.backend);
+            parts.record_crash(self.digest, &self.backend);
             self.log();
         }
     }
--- a/src/relay/request/judge.rs
+++ b/src/relay/request/judge.rs
@@ -25,13 +25,13 @@
     if parts.crashes.is_empty() {
         return Ok(call);
     }
-    match parts.judge(call.digest()) {
+    match parts.judge_request(call.digest()) {
         CrashJudgement::Harmless => Ok(call),
         CrashJudgement::Suspected(_) => Ok(call.suspected()),
         CrashJudgement::Fatal(wait) => {
             Err(refusal(parts, &call, service, RunVerdict::NotRun, wait))
         }
-        CrashJudgement::TrialDue => match parts.ask_trial(call.digest()).await {
+        CrashJudgement::TrialDue => match parts.request_trial(call.digest()).await {
             true => Ok(call.suspected().on_trial()),
             false => Err(refusal(
                 parts,
@@ -60,7 +60,7 @@
     if parts.crashes.is_empty() {
         return Ok(());
     }
-    let wait = match parts.judge(call.digest()) {
+    let wait = match parts.judge_request(call.digest()) {
         CrashJudgement::Harmless | CrashJudgement::Suspected(_) => return Ok(()),
         // A trial is one run.
         _ if call.is_on_trial && verdict == RunVerdict::NotRun => return Ok(()),
--- a/src/relay/request/plain.rs
+++ b/src/relay/request/plain.rs
@@ -300,7 +300,7 @@
                 let is_good = !answer.status.is_server_error();
                 self.parts.book.borrow_mut().answered(&backend.id, is_good);
                 if is_good && matches!(answer.body, PlainBody::Whole(_)) {
-                    self.parts.note_good_run(|| self.call.digest());
+                    self.parts.record_success(|| self.call.digest());
                 }
                 if is_good || !self.call.route.kind.is_repeatable() {
                     return Some(*answer);
