--- a/src/relay/news/findings.rs
+++ b/src/relay/news/findings.rs
@@ -72,7 +72,7 @@
             false => MarkSource::Reported,
         };
         self.parts.merge_crash_marks(&findings.crashes, source);
-        self.parts.take_limits(&findings.limits, source);
+        self.parts.apply_limits(&findings.limits, source);
     }
 
     /// Starts to tell.
@@ -128,7 +128,7 @@
         match self.links.follow(entry.peers, held, LEARN_PATIENCE).await {
             Ok(news) => {
                 self.parts.merge_crash_news(&news.crashes, entry.peers);
-                self.parts.take_limit_updates(&news.limits, entry.peers);
+                self.parts.apply_limit_updates(&news.limits, entry.peers);
             }
             Err(error) => log::debug!("host {} told of no findings: {error}", entry.name),
         }
--- a/src/relay/news/permits.rs
+++ b/src/relay/news/permits.rs
@@ -53,7 +53,7 @@
     /// alone allocates permits although the asker cannot reach it.
     pub async fn answer(self: Rc<Self>, ask: PermitRequest, is_passed_on: bool) -> PermitGrant {
         let zone = self.parts.settings.zone.clone();
-        let owner = self.parts.owner(&zone, ask.server);
+        let owner = self.parts.permit_owner(&zone, ask.server);
         let other = owner.filter(|owner| owner.name != self.parts.settings.name);
         match other {
             Some(owner) if !is_passed_on => {
@@ -66,12 +66,12 @@
 
     async fn ask(self: Rc<Self>, zone: FastStr, ask: PermitRequest) -> PermitGrant {
         for _ in 0..OWNERS_ASKED {
-            let Some(owner) = self.parts.owner(&zone, ask.server) else {
+            let Some(owner) = self.parts.permit_owner(&zone, ask.server) else {
                 break;
             };
             if owner.name == self.parts.settings.name {
                 // Cut off from all others it does not know what they do.
-                return match self.parts.is_in_touch() {
+                return match self.parts.has_peer_contact() {
                     true => self.parts.allocate_permits(&ask),
                     false => self.parts.allocate_alone(&ask),
                 };
@@ -122,7 +122,7 @@
     async fn forget_old(self: Rc<Self>) {
         loop {
             tokio::time::sleep(FORGET_PERIOD).await;
-            self.parts.forget_limits();
+            self.parts.evict_limits();
         }
     }
 }
--- a/src/relay/news/share.rs
+++ b/src/relay/news/share.rs
@@ -77,7 +77,7 @@
             self.follower.note_report(name, view);
         }
         if reporter != self.own_reporter() {
-            self.parts.note_peer();
+            self.parts.record_peer_contact();
         }
         let now = self.parts.now();
         let accounts = self.answer_accounts(&reporter, &report.accounts);
@@ -156,7 +156,7 @@
             .share(entry.peers, &reporter, &own, self.view(), REPORT_PATIENCE);
         match sent.await {
             Ok(others) => {
-                self.parts.note_peer();
+                self.parts.record_peer_contact();
                 if !others.is_store_lost {
                     self.follower.note_store_back();
                 }
@@ -189,7 +189,7 @@
             self.targets.note(&entry.name, answer.is_ok(), now);
             match answer {
                 Ok(theirs) => {
-                    self.parts.note_peer();
+                    self.parts.record_peer_contact();
                     let mut board = self.board.borrow_mut();
                     board.take(LoadReporter::Zone(entry.zone), theirs, now);
                 }
--- a/src/relay/news/take.rs
+++ b/src/relay/news/take.rs
@@ -18,7 +18,7 @@
         let told = news.backends.position.max(news.hosts.position);
         self.parts.note_store_era(told.era, "host");
         self.parts.merge_crash_news(&news.crashes, from);
-        self.parts.take_limit_updates(&news.limits, from);
+        self.parts.apply_limit_updates(&news.limits, from);
         self.take_lists(&news, confirmed);
         let held = self.parts.cluster.borrow().config_version();
         let is_known = match news.config {
--- a/src/relay/parts/availability.rs
+++ b/src/relay/parts/availability.rs
@@ -38,7 +38,7 @@
 
 impl RelayParts {
     /// Applies the server state that a response reports. `sent` is when the request was sent.
-    pub fn note_marks(
+    pub fn apply_server_marks(
         &self,
         backend: &BackendInfo,
         marks: &ServerMarks,
--- a/src/relay/parts/crashes.rs
+++ b/src/relay/parts/crashes.rs
@@ -222,7 +222,7 @@
         self.limits.retain_listed(is_listed);
         drop(cluster);
         self.adopt_judgements();
-        self.mark_all_own();
+        self.update_all_ownership();
     }
 
     // A planned stop removes a host's entry with the judgements in it. The remaining host that ranks first for the digest
--- a/src/relay/parts/permits.rs
+++ b/src/relay/parts/permits.rs
@@ -87,7 +87,7 @@
 
 impl ServerPermit {
     /// Marks the permit as used: its request was sent.
-    pub fn use_up(mut self) {
+    pub fn consume(mut self) {
         self.server = None;
     }
 }
@@ -104,7 +104,7 @@
 impl RelayParts {
     /// Acquires a permit to send a request to a backend server. The error says when a permit is likely to be available.
     /// `rank` is the urgency of the request, 0 the highest.
-    pub async fn take_permit(
+    pub async fn acquire_permit(
         self: &Rc<Self>,
         backend: &BackendInfo,
         rank: u8,
@@ -148,7 +148,7 @@
             Some(call) => call(backend.zone.clone(), ask).await,
             None => self.allocate_share(&ask),
         };
-        self.take_limit(backend, grant.saying, "host");
+        self.apply_limit(backend, grant.saying, "host");
         let now = self.now();
         let mut book = self.book.borrow_mut();
         book.limits.take_grant(server, rank, &grant, now);
@@ -185,12 +185,12 @@
     }
 
     /// Records that another host sent a response or a request.
-    pub fn note_peer(&self) {
+    pub fn record_peer_contact(&self) {
         self.permits.peer_heard.set(Some(self.now()));
     }
 
     /// Returns whether this host has heard from another one recently or is the only host.
-    pub fn is_in_touch(&self) -> bool {
+    pub fn has_peer_contact(&self) -> bool {
         let now = self.now();
         let heard = self.permits.peer_heard.get();
         let is_heard = heard.is_some_and(|at| now.saturating_sub(at) < CONTACT_TIMEOUT);
@@ -219,7 +219,7 @@
     }
 
     /// Returns the host that allocates the permits for a server of a zone, as far as this host knows.
-    pub fn owner(&self, zone: &str, server: EngineKey) -> Option<HostEntry> {
+    pub fn permit_owner(&self, zone: &str, server: EngineKey) -> Option<HostEntry> {
         let cluster = self.cluster.borrow();
         let owners = self.permits.owners.borrow();
         let owner = owners.owner(cluster.hosts(), zone, server, self.now());
--- a/src/relay/parts/publish.rs
+++ b/src/relay/parts/publish.rs
@@ -42,7 +42,7 @@
             self.pool.forget(earlier.address);
         }
         self.prefer_engines();
-        self.mark_all_own();
+        self.update_all_ownership();
         if !changes.is_empty() {
             self.log_changes(&changes, count);
         }
--- a/src/relay/parts/server_limits.rs
+++ b/src/relay/parts/server_limits.rs
@@ -108,7 +108,7 @@
         };
         let age = self.now().saturating_sub(sent);
         let saying = LimitSaying::told(limit, age, self.now());
-        let was_limited = self.take_limit(backend, saying, "answer");
+        let was_limited = self.apply_limit(backend, saying, "answer");
         if was_limited && limit.is_none() {
             self.report_limit_end(backend, saying);
         }
@@ -121,7 +121,7 @@
     }
 
     // Records a limit; returns whether the server was known to be rate-limited before.
-    pub(super) fn take_limit(
+    pub(super) fn apply_limit(
         &self,
         backend: &BackendInfo,
         saying: LimitSaying,
@@ -200,14 +200,14 @@
     // Caches whether this host allocates the permits for a server, because each request needs it. Recomputed when it may have
     // changed.
     fn update_ownership(&self, backend: &BackendInfo) {
-        let owner = self.owner(&backend.zone, backend.key());
+        let owner = self.permit_owner(&backend.zone, backend.key());
         let is_own = owner.is_some_and(|owner| owner.name == self.settings.name);
         let mut book = self.book.borrow_mut();
         book.limits.set_own(backend.key(), is_own);
     }
 
     /// Recomputes for which servers this host allocates the permits, after a change of the backend servers or hosts.
-    pub fn mark_all_own(&self) {
+    pub fn update_all_ownership(&self) {
         let limits = self.book.borrow().limits.servers();
         if limits.is_empty() {
             return;
@@ -219,7 +219,7 @@
     }
 
     /// Applies limits that another host sent.
-    pub fn take_limits(&self, marks: &[LimitUpdate], source: MarkSource) {
+    pub fn apply_limits(&self, marks: &[LimitUpdate], source: MarkSource) {
         let now = self.now();
         let mut shown = BTreeMap::new();
         let mut has_news = false;
@@ -234,7 +234,7 @@
         }
         self.log_limit_changes(&shown);
         if has_news {
-            self.mark_all_own();
+            self.update_all_ownership();
         }
         if !has_news {
             return;
@@ -262,8 +262,8 @@
     }
 
     /// Applies the limits that the host at an address sent in an update.
-    pub fn take_limit_updates(&self, news: &CacheUpdates<LimitUpdate>, from: SocketAddr) {
-        self.take_limits(&news.marks, MarkSource::Told);
+    pub fn apply_limit_updates(&self, news: &CacheUpdates<LimitUpdate>, from: SocketAddr) {
+        self.apply_limits(&news.marks, MarkSource::Told);
         if news.place.book != 0 {
             self.limits.received.borrow_mut().insert(from, news.place);
         }
@@ -293,7 +293,7 @@
         let limit = ShownLimit(book.limits.limit(server));
         let age = book.limits.age(server, now).as_millis();
         let held = book.limits.held(server, now);
-        let owner = self.owner(&backend.zone, server);
+        let owner = self.permit_owner(&backend.zone, server);
         let owner = owner.map_or_else(FastStr::default, |owner| owner.name);
         format!(
             "backend={} service={} zone={} limit={limit} age_ms={age} owner={owner:?} permits_held={held}\n",
@@ -302,7 +302,7 @@
     }
 
     /// Removes limits that no response has confirmed for a long time, and permits that are no longer requested.
-    pub fn forget_limits(&self) {
+    pub fn evict_limits(&self) {
         let cluster = self.cluster.borrow();
         let is_listed = |name: &FastStr| cluster.hosts().any(|entry| entry.name == *name);
         self.permits.forget_old(is_listed, self.now());
--- a/src/relay/parts/shared.rs
+++ b/src/relay/parts/shared.rs
@@ -257,7 +257,7 @@
             _ => self.send_to(backend, purpose, request, None).await?,
         };
         let marks = (self.dialect.read_response)(answer.status, &answer.headers);
-        self.note_marks(backend, &marks.server, AnswerKind::Other, sent);
+        self.apply_server_marks(backend, &marks.server, AnswerKind::Other, sent);
         Ok(answer)
     }
 }
--- a/src/relay/request/guard.rs
+++ b/src/relay/request/guard.rs
@@ -50,7 +50,7 @@
     pub(super) fn note_marks(&self, status: StatusCode, marks: &ResponseMetadata) {
         let kind = AnswerKind::of(status, marks.not_run);
         let parts = &self.parts;
-        parts.note_marks(&self.backend, &marks.server, kind, self.sent);
+        parts.apply_server_marks(&self.backend, &marks.server, kind, self.sent);
     }
 
     /// The request's connection broke off while it ran, or may have: finds out whether the backend server ended, and
--- a/src/relay/request/plain.rs
+++ b/src/relay/request/plain.rs
@@ -204,7 +204,7 @@
         if is_repeat && !self.parts.spend_repeat(&self.service) {
             return false;
         }
-        permit.use_up();
+        permit.consume();
         self.tried.push(backend.id.clone());
         self.open.push(backend.clone());
         self.sends += 1;
@@ -231,7 +231,7 @@
                 rank,
                 needs_no_permit,
             })?;
-            match self.parts.take_permit(&backend, rank).await {
+            match self.parts.acquire_permit(&backend, rank).await {
                 Ok(permit) if self.parts.may_send(&backend, None) => {
                     return Some((backend, permit));
                 }
--- a/src/relay/request/reserve.rs
+++ b/src/relay/request/reserve.rs
@@ -90,7 +90,7 @@
     /// The name of the reservation, to be used now with the request's permit at the engine.
     pub fn use_up(&mut self) -> Option<FastStr> {
         if let Some(permit) = self.permit.take() {
-            permit.use_up();
+            permit.consume();
         }
         self.hold.name.take()
     }
@@ -258,7 +258,7 @@
     tokens: u64,
     headroom: u64,
 ) -> Option<MemoryHold> {
-    let permit = parts.take_permit(&engine, rank).await.ok()?;
+    let permit = parts.acquire_permit(&engine, rank).await.ok()?;
     let beside = match headroom {
         0 => None,
         _ => Some(ask(parts, &engine, headroom, HEADROOM_TIME).await?),
--- a/src/relay/request/stream.rs
+++ b/src/relay/request/stream.rs
@@ -310,7 +310,7 @@
             let chosen = prefill::choose_engine(parts, &self.service, zone, rank, &tried)?;
             let engine = chosen.0.id.clone();
             // Rate-limited and without a permit: as one that the request does not reach.
-            let Ok(permit) = parts.take_permit(&chosen.0, rank).await else {
+            let Ok(permit) = parts.acquire_permit(&chosen.0, rank).await else {
                 tried.push(engine);
                 continue;
             };
@@ -321,7 +321,7 @@
             if !self.may_compute() {
                 return None;
             }
-            permit.use_up();
+            permit.consume();
             let failure = match prefill::compute_prompt(&self.parts, &self.call, chosen).await {
                 Ok(cache) => {
                     self.computed = true;
