--- a/src/relay/news/follow.rs
+++ b/src/relay/news/follow.rs
@@ -260,7 +260,7 @@
                 true => choice.set_hosts(cluster.hosts()),
             }
         }
-        self.parts.prefer_engines();
+        self.parts.update_preferred_engines();
     }
 
     // What this host has, for the one at an address.
--- a/src/relay/news/share.rs
+++ b/src/relay/news/share.rs
@@ -141,14 +141,14 @@
 
     // This host adds up for its zone.
     fn collect_own(&self) {
-        let own = self.parts.own_report();
+        let own = self.parts.load_report();
         let others = self.answer(self.own_reporter(), own, ReportedView::default());
         self.board.borrow_mut().forget_old(self.parts.now());
-        self.parts.take_others(others);
+        self.parts.apply_fleet_report(others);
     }
 
     async fn report_to(&self, entry: &HostEntry) {
-        let own = self.parts.own_report();
+        let own = self.parts.load_report();
         let uses = own.accounts.uses.clone();
         let reporter = self.own_reporter();
         let sent = self
@@ -160,7 +160,7 @@
                 if !others.is_store_lost {
                     self.follower.note_store_back();
                 }
-                self.parts.take_others(others);
+                self.parts.apply_fleet_report(others);
             }
             Err(error) => {
                 log::debug!("host {} took no report: {error}", entry.name);
--- a/src/relay/parts/availability.rs
+++ b/src/relay/parts/availability.rs
@@ -88,7 +88,7 @@
         drop(book);
         if change.is_leaving {
             self.pool.forget(backend.address);
-            self.prefer_engines();
+            self.update_preferred_engines();
             self.metrics.servers_leaving(&backend.service);
             self.log_leaving(backend);
         }
--- a/src/relay/parts/publish.rs
+++ b/src/relay/parts/publish.rs
@@ -41,7 +41,7 @@
             self.kept.borrow_mut().forget(&earlier.id);
             self.pool.forget(earlier.address);
         }
-        self.prefer_engines();
+        self.update_preferred_engines();
         self.update_all_ownership();
         if !changes.is_empty() {
             self.log_changes(&changes, count);
@@ -55,7 +55,7 @@
     }
 
     /// Recomputes which engines of its availability zone this host prefers.
-    pub fn prefer_engines(&self) {
+    pub fn update_preferred_engines(&self) {
         let own = &self.settings.name;
         let zone = &self.settings.zone;
         let cluster = self.cluster.borrow();
--- a/src/relay/parts/shares.rs
+++ b/src/relay/parts/shares.rs
@@ -65,18 +65,18 @@
     }
 
     /// Returns whether this host has received a request for any service.
-    pub fn has_served(&self) -> bool {
+    pub fn has_received_requests(&self) -> bool {
         !self.budgets.borrow().is_empty()
     }
 
     /// Counts a retry of a request to a service if the retry budget allows one; returns whether it does.
-    pub fn spend_repeat(&self, service: &FastStr) -> bool {
+    pub fn spend_retry(&self, service: &FastStr) -> bool {
         self.spend(service, WindowBudget::allows)
     }
 
-    /// Like `spend_repeat`, for the retry of a request whose caller already has part of the response and would lose it
+    /// Like `spend_retry`, for the retry of a request whose caller already has part of the response and would lose it
     /// otherwise.
-    pub fn spend_dear_repeat(&self, service: &FastStr) -> bool {
+    pub fn spend_costly_retry(&self, service: &FastStr) -> bool {
         self.spend(service, WindowBudget::may_risk)
     }
 
@@ -98,7 +98,7 @@
     }
 
     /// Returns whether the retry budget allows an attempt that counts as a retry if it fails.
-    pub fn may_risk_repeat(&self, service: &FastStr) -> bool {
+    pub fn may_risk_retry(&self, service: &FastStr) -> bool {
         let now = self.now();
         let fleet = self.fleet_demand(service);
         let mut budgets = self.budgets.borrow_mut();
@@ -107,7 +107,7 @@
     }
 
     /// Counts a retry that was sent already: a prefill that an engine did not run.
-    pub fn count_repeat(&self, service: &FastStr) {
+    pub fn count_retry(&self, service: &FastStr) {
         let now = self.now();
         let mut budgets = self.budgets.borrow_mut();
         budgets.entry(service.clone()).or_default().count(now);
@@ -167,7 +167,7 @@
     }
 
     /// Returns the report of this host's load for other hosts.
-    pub fn own_report(&self) -> LoadReport {
+    pub fn load_report(&self) -> LoadReport {
         let now = self.now();
         let window = self.settings.bounds.retries.window;
         let mut budgets = self.budgets.borrow_mut();
@@ -200,7 +200,7 @@
     }
 
     /// Applies the combined report of all other hosts.
-    pub fn take_others(&self, report: LoadReport) {
+    pub fn apply_fleet_report(&self, report: LoadReport) {
         let now = self.now();
         self.apply_use_report(&report.accounts);
         self.book.borrow_mut().set_others(&report.loads, now);
--- a/src/relay/request/plain.rs
+++ b/src/relay/request/plain.rs
@@ -201,7 +201,7 @@
             return false;
         };
         let is_repeat = self.arrived || !self.open.is_empty();
-        if is_repeat && !self.parts.spend_repeat(&self.service) {
+        if is_repeat && !self.parts.spend_retry(&self.service) {
             return false;
         }
         permit.consume();
--- a/src/relay/request/stream.rs
+++ b/src/relay/request/stream.rs
@@ -333,7 +333,7 @@
             self.prefill_broke |= failure.arrived && failure.kind == BackendFailure::Broken;
             if failure.arrived {
                 self.computed = true;
-                self.parts.count_repeat(&self.service);
+                self.parts.count_retry(&self.service);
                 return None;
             }
             tried.push(engine);
@@ -344,19 +344,19 @@
     // The first prefill costs a repeat too if its engine does not do it.
     fn may_compute(&self) -> bool {
         match self.computed {
-            true => self.parts.spend_repeat(&self.service),
-            false => self.parts.may_risk_repeat(&self.service),
+            true => self.parts.spend_retry(&self.service),
+            false => self.parts.may_risk_retry(&self.service),
         }
     }
 
     fn may_decode_again(&self) -> bool {
-        self.parts.spend_repeat(&self.service)
+        self.parts.spend_retry(&self.service)
     }
 
     /// Counts the repeat with which this stream would go on elsewhere; what its caller has of it is lost if
     /// it cannot. Gives whether it is allowed.
     pub(super) fn pay_repeat(&mut self) -> bool {
-        self.repeat_paid = self.repeat_paid || self.parts.spend_dear_repeat(&self.service);
+        self.repeat_paid = self.repeat_paid || self.parts.spend_costly_retry(&self.service);
         self.repeat_paid
     }
 
--- a/src/relay/roles/keeper.rs
+++ b/src/relay/roles/keeper.rs
@@ -95,7 +95,7 @@
         self.check_restores();
         let now = self.parts.now();
         let changes = self.pending_changes(now);
-        let (min_changes, settle) = match self.parts.has_served() {
+        let (min_changes, settle) = match self.parts.has_received_requests() {
             true => (CHANGES_MIN, SETTLE_TIME),
             false => (1, STARTUP_SETTLE_TIME),
         };
@@ -153,7 +153,7 @@
         let Some(routes) = self.parts.routes() else {
             return Vec::new();
         };
-        let plan = match self.parts.has_served() {
+        let plan = match self.parts.has_received_requests() {
             true => split::plan_in_service,
             false => split::plan_roles,
         };
