--- a/src/relay/host.rs
+++ b/src/relay/host.rs
@@ -109,7 +109,7 @@
         let parts = RelayParts::new(settings, dialect, gate, clock, store.eras.clone());
         let observing = parts.clone();
         let store = store.with_observer(Rc::new(move |is_answered| {
-            observing.note_store_call(is_answered)
+            observing.record_store_call(is_answered)
         }));
         let store = Rc::new(store);
         let host = Self {
--- a/src/relay/news/feed.rs
+++ b/src/relay/news/feed.rs
@@ -130,7 +130,7 @@
                     ListFreshness::Latest => self.count_restore(kind, held, list),
                     ListFreshness::MayLag => list,
                 };
-                self.parts.note_store_era(list.position.era, "store");
+                self.parts.record_store_era(list.position.era, "store");
                 let is_taken = self.take_list(kind, list);
                 match (age, is_taken) {
                     (ListFreshness::Latest, true) => self.prove(kind, asked),
--- a/src/relay/news/store_news.rs
+++ b/src/relay/news/store_news.rs
@@ -66,7 +66,7 @@
             StoreKind::Leases => true,
         };
         match is_taken {
-            true => self.parts.note_reread(),
+            true => self.parts.log_reread(),
             false => self.log_older_list(kind, position),
         }
         is_taken
--- a/src/relay/news/take.rs
+++ b/src/relay/news/take.rs
@@ -16,7 +16,7 @@
         let confirmed = news.confirmed(asked);
         let proved = news.proved(asked);
         let told = news.backends.position.max(news.hosts.position);
-        self.parts.note_store_era(told.era, "host");
+        self.parts.record_store_era(told.era, "host");
         self.parts.merge_crash_news(&news.crashes, from);
         self.parts.apply_limit_updates(&news.limits, from);
         self.take_lists(&news, confirmed);
@@ -64,7 +64,7 @@
         if has_changed {
             self.parts.publish_backends();
         }
-        self.parts.note_reread();
+        self.parts.log_reread();
     }
 
     // A large configuration is read from the store; the host that told of it sends it only if it must.
--- a/src/relay/news/tell.rs
+++ b/src/relay/news/tell.rs
@@ -25,7 +25,7 @@
 pub async fn tell_news(parts: Rc<RelayParts>, held: HeldNews) -> ClusterNews {
     note_informed(&parts, &held);
     let known = held.backends_position.max(held.hosts_position);
-    parts.note_store_era(known.era, "host");
+    parts.record_store_era(known.era, "host");
     let asked = parts.now();
     let until = asked + held.wait.min(WAIT_LIMIT);
     loop {
--- a/src/relay/parts/shared.rs
+++ b/src/relay/parts/shared.rs
@@ -152,15 +152,15 @@
     }
 
     /// Records the end of a call to the store.
-    pub fn note_store_call(&self, is_answered: bool) {
+    pub fn record_store_call(&self, is_answered: bool) {
         if is_answered {
             self.store_heard.set(Some(self.now()));
         }
-        self.note_store_era(self.eras.latest(), "store");
+        self.record_store_era(self.eras.latest(), "store");
     }
 
     /// Records an era that the store or another host stated.
-    pub fn note_store_era(&self, era: u32, from: &str) {
+    pub fn record_store_era(&self, era: u32, from: &str) {
         self.eras.note(era);
         let mut cluster = self.cluster.borrow_mut();
         let held = cluster.backends_position();
@@ -178,7 +178,7 @@
     }
 
     /// Logs when the last of the lists that must be read again after a restore of the store has been applied.
-    pub fn note_reread(&self) {
+    pub fn log_reread(&self) {
         let mut cluster = self.cluster.borrow_mut();
         if cluster.take_reread_complete() {
             event::emit(
@@ -283,7 +283,7 @@
 
 impl RelayParts {
     /// Records a failure of a backend server, and ejects it if it failed too often.
-    pub fn note_failure(&self, backend: &BackendInfo, failure: BackendFailure, detail: &str) {
+    pub fn record_failure(&self, backend: &BackendInfo, failure: BackendFailure, detail: &str) {
         let now = self.now();
         if !self.book.borrow().is_current(backend) {
             return;
@@ -305,9 +305,9 @@
     }
 
     /// Records that a request to a backend server got no response.
-    pub fn note_send_failure(&self, backend: &BackendInfo, failure: &SendFailure) {
+    pub fn record_send_failure(&self, backend: &BackendInfo, failure: &SendFailure) {
         if let Some(kind) = failure.kind() {
-            return self.note_failure(backend, kind, &failure.detail);
+            return self.record_failure(backend, kind, &failure.detail);
         }
         if failure.cause == FailureCause::Limited {
             self.metrics.connection_limits.inc();
@@ -316,7 +316,7 @@
     }
 
     /// Records that a backend server declined a request.
-    pub fn note_decline(&self, backend: &BackendInfo, status: StatusCode) {
+    pub fn record_decline(&self, backend: &BackendInfo, status: StatusCode) {
         if status == MISDIRECTED && self.book.borrow().is_current(backend) {
             self.book.borrow_mut().set_leaving(&backend.id);
             self.pool.forget(backend.address);
@@ -329,7 +329,7 @@
 
 impl RelayParts {
     /// Sends a call that releases resources at a backend server, in the background.
-    pub fn call_later(self: Rc<Self>, backend: BackendInfo, call: BackendCall) {
+    pub fn call_in_background(self: Rc<Self>, backend: BackendInfo, call: BackendCall) {
         tokio::task::spawn_local(async move {
             let path = call.path.clone();
             if let Err(failure) = self.call_backend(&backend, call, RELEASE_TIMEOUT).await {
--- a/src/relay/request/decode.rs
+++ b/src/relay/request/decode.rs
@@ -51,7 +51,7 @@
             Ok(answer) => return Ok(answer),
             Err(failure) => failure,
         };
-        parts.note_send_failure(engine, &failure);
+        parts.record_send_failure(engine, &failure);
         if failure.is_break() {
             guard.settle_break(&self.call).await;
         }
@@ -72,7 +72,7 @@
         guard.note_marks(answer.status, &marks);
         if marks.is_for_other_request(&self.call.marks.id) {
             let detail = "an answer to another request";
-            parts.note_failure(engine, BackendFailure::Broken, detail);
+            parts.record_failure(engine, BackendFailure::Broken, detail);
             let detail = format!("decode at {}: {detail}", engine.id);
             return Err(RoundFailure::new(RunVerdict::MayHaveRun, detail));
         }
@@ -96,7 +96,7 @@
         answer: PooledAnswer,
     ) -> RoundFailure {
         let status = answer.status;
-        self.parts.note_decline(engine, status);
+        self.parts.record_decline(engine, status);
         // One that asks for a backoff turned the request away for itself.
         if self.parts.may_send(engine, None) {
             let blamed = cache.as_ref().map_or(engine, |cache| &cache.engine);
--- a/src/relay/request/plain.rs
+++ b/src/relay/request/plain.rs
@@ -188,7 +188,7 @@
             self.note_step(&backend, "silent");
             let detail = "no answer within the time limit";
             self.parts
-                .note_failure(&backend, BackendFailure::Silent, detail);
+                .record_failure(&backend, BackendFailure::Silent, detail);
             self.verdict = self.verdict.max(RunVerdict::MayHaveRun);
             self.detail = format!("{}: {detail}", backend.id);
         }
--- a/src/relay/request/prefill.rs
+++ b/src/relay/request/prefill.rs
@@ -50,7 +50,9 @@
     fn drop(&mut self) {
         if let Some(cache) = self.cache.take() {
             let call = (self.parts.dialect.engines.free_cache)(&cache.handle);
-            self.parts.clone().call_later(self.engine.clone(), call);
+            self.parts
+                .clone()
+                .call_in_background(self.engine.clone(), call);
         }
     }
 }
@@ -150,7 +152,7 @@
             book.prefill_observed(&engine.id, cache.tokens, now.saturating_sub(began), now);
         }
         Err(failure) if failure.verdict != RunVerdict::NotRun => {
-            parts.note_failure(&engine, failure.kind, &failure.detail);
+            parts.record_failure(&engine, failure.kind, &failure.detail);
             if failure.kind == BackendFailure::Broken {
                 guard.settle_break(call).await;
             }
@@ -176,7 +178,7 @@
     let sent = parts.send_to(engine, PoolUse::Prefill, request, None).await;
     let answer = sent.map_err(|failure| {
         if failure.verdict == RunVerdict::NotRun {
-            parts.note_send_failure(engine, &failure);
+            parts.record_send_failure(engine, &failure);
         }
         PrefillFailure {
             verdict: failure.verdict,
@@ -199,7 +201,7 @@
         detail,
     })?;
     if marks.not_run {
-        parts.note_decline(engine, status);
+        parts.record_decline(engine, status);
         // A backoff says nothing of the time after it.
         if parts.may_send(engine, None) {
             parts.book.borrow_mut().declined(&engine.id, parts.now());
--- a/src/relay/request/reserve.rs
+++ b/src/relay/request/reserve.rs
@@ -52,7 +52,9 @@
     fn drop(&mut self) {
         if let Some(name) = self.name.take() {
             let call = (self.parts.dialect.engines.release_memory)(&name);
-            self.parts.clone().call_later(self.engine.clone(), call);
+            self.parts
+                .clone()
+                .call_in_background(self.engine.clone(), call);
         }
     }
 }
@@ -294,11 +296,11 @@
         Ok((StatusCode::SERVICE_UNAVAILABLE, _)) if !parts.may_send(engine, None) => return None,
         Ok((StatusCode::SERVICE_UNAVAILABLE, _)) => None,
         Ok((status, _)) => {
-            parts.note_decline(engine, status);
+            parts.record_decline(engine, status);
             None
         }
         Err(failure) => {
-            parts.note_send_failure(engine, &failure);
+            parts.record_send_failure(engine, &failure);
             return None;
         }
     };
--- a/src/relay/request/send.rs
+++ b/src/relay/request/send.rs
@@ -62,7 +62,7 @@
     let answer = match sent {
         Ok(answer) => answer,
         Err(failure) => {
-            parts.note_send_failure(backend, &failure);
+            parts.record_send_failure(backend, &failure);
             if failure.verdict == RunVerdict::NotRun {
                 return SendOutcome::Unsent(failure.detail);
             }
@@ -76,7 +76,7 @@
     guard.note_marks(answer.status, &marks);
     if marks.is_for_other_request(&call.marks.id) {
         let detail = "an answer to another request came";
-        parts.note_failure(backend, BackendFailure::Broken, detail);
+        parts.record_failure(backend, BackendFailure::Broken, detail);
         return SendOutcome::Lost(detail.into());
     }
     if call.route.kind.is_stream() && answer.status.is_success() {
@@ -107,12 +107,12 @@
     let body = match answer.body.read(ANSWER_LIMIT).await {
         Ok(body) => body,
         Err(detail) => {
-            parts.note_failure(backend, BackendFailure::Broken, &detail);
+            parts.record_failure(backend, BackendFailure::Broken, &detail);
             return SendOutcome::Lost(format!("answer cut short: {detail}"));
         }
     };
     if not_run {
-        parts.note_decline(backend, status);
+        parts.record_decline(backend, status);
         let now = parts.now();
         parts.book.borrow_mut().turned_away(&backend.id, now);
         return SendOutcome::Declined(format!("status {status}"));
