--- a/src/relay/host.rs
+++ b/src/relay/host.rs
@@ -244,7 +244,7 @@
 // Applies the limits of the configuration in force to new connections.
 async fn apply_limit_changes(parts: Rc<RelayParts>, limits: Rc<IngressLimits>) {
     loop {
-        let news = parts.news.notified();
+        let news = parts.state_changed.notified();
         tokio::pin!(news);
         news.as_mut().enable();
         if let Some(routes) = parts.routes() {
--- a/src/relay/news/entry.rs
+++ b/src/relay/news/entry.rs
@@ -95,7 +95,7 @@
 async fn wait_for_list(parts: &RelayParts) {
     let waiting = async {
         loop {
-            let news = parts.news.notified();
+            let news = parts.state_changed.notified();
             tokio::pin!(news);
             news.as_mut().enable();
             // What an earlier run's entry keeps is taken over first.
--- a/src/relay/news/findings.rs
+++ b/src/relay/news/findings.rs
@@ -102,7 +102,8 @@
     async fn learn(self: Rc<Self>) {
         while !self.parts.cluster.borrow().hosts_position().is_known() {
             // News that came between the look and the wait are found at the next look.
-            let looked = tokio::time::timeout(LOOK_PERIOD, self.parts.news.notified()).await;
+            let looked =
+                tokio::time::timeout(LOOK_PERIOD, self.parts.state_changed.notified()).await;
             log::trace!("looked for the list of hosts: {looked:?}");
         }
         let asking = self.hosts_to_ask().into_iter();
@@ -137,7 +138,7 @@
     async fn run(self: Rc<Self>) {
         loop {
             tokio::select! {
-                () = self.parts.reported.notified() => {}
+                () = self.parts.findings_changed.notified() => {}
                 () = tokio::time::sleep(LOOK_PERIOD) => {}
             }
             let mut all_told = self.tell_all().await;
--- a/src/relay/news/follow.rs
+++ b/src/relay/news/follow.rs
@@ -169,7 +169,7 @@
 
     async fn tell_changes(self: Rc<Self>) {
         loop {
-            self.parts.news.notified().await;
+            self.parts.state_changed.notified().await;
             self.note_change();
         }
     }
@@ -356,7 +356,7 @@
         }
         addresses.shuffle(&mut rand::rng());
         addresses.truncate(ASKED_HOSTS);
-        addresses.extend(self.parts.informed.take());
+        addresses.extend(self.parts.informed_peer.take());
         addresses
     }
 
--- a/src/relay/news/settle.rs
+++ b/src/relay/news/settle.rs
@@ -51,7 +51,7 @@
     // Which zones there are is known to the books as soon as to the host: what is left of a limit depends on it.
     async fn follow_zones(self: Rc<Self>) {
         loop {
-            self.parts.news.notified().await;
+            self.parts.state_changed.notified().await;
             self.parts.update_ledger();
         }
     }
--- a/src/relay/news/store_news.rs
+++ b/src/relay/news/store_news.rs
@@ -60,7 +60,7 @@
                 let is_taken = cluster.set_hosts(hosts, position, now);
                 drop(cluster);
                 self.parts.handle_host_change();
-                self.parts.news.notify_waiters();
+                self.parts.state_changed.notify_waiters();
                 is_taken
             }
             StoreKind::Leases => true,
@@ -96,7 +96,7 @@
                 drop(cluster);
                 if is_news {
                     self.parts.handle_host_change();
-                    self.parts.news.notify_waiters();
+                    self.parts.state_changed.notify_waiters();
                 }
             }
             StoreKind::Leases => {}
--- a/src/relay/news/tell.rs
+++ b/src/relay/news/tell.rs
@@ -29,7 +29,7 @@
     let asked = parts.now();
     let until = asked + held.wait.min(WAIT_LIMIT);
     loop {
-        let changed = parts.news.notified();
+        let changed = parts.state_changed.notified();
         tokio::pin!(changed);
         changed.as_mut().enable();
         let news = ClusterNews {
@@ -59,7 +59,7 @@
 fn note_informed(parts: &RelayParts, held: &HeldNews) {
     let knows_all = parts.cluster.borrow().age(parts.now()).is_some();
     if !knows_all && held.has_all() {
-        parts.informed.set(held.peers);
+        parts.informed_peer.set(held.peers);
     }
 }
 
--- a/src/relay/parts/crashes.rs
+++ b/src/relay/parts/crashes.rs
@@ -166,8 +166,8 @@
         if let Some(change) = change {
             self.log_judgements(&[(digest, change)]);
         }
-        self.reported.notify_one();
-        self.news.notify_waiters();
+        self.findings_changed.notify_one();
+        self.state_changed.notify_waiters();
     }
 
     /// Merges records from another host.
@@ -189,9 +189,9 @@
                 .iter()
                 .filter(|(_, change)| *change == CrashChange::Judged);
             judged.for_each(|(digest, _)| self.keep_judgement(*digest));
-            self.reported.notify_one();
+            self.findings_changed.notify_one();
         }
-        self.news.notify_waiters();
+        self.state_changed.notify_waiters();
     }
 
     // Adds a fatal request to those that this host's entry in the store keeps. Hosts that learn of the judgement in the
@@ -260,7 +260,7 @@
             }
         }
         self.crashes.has_learned.set(true);
-        self.news.notify_waiters();
+        self.state_changed.notify_waiters();
     }
 
     /// Merges the records that the host at an address sent in an update.
--- a/src/relay/parts/publish.rs
+++ b/src/relay/parts/publish.rs
@@ -27,8 +27,8 @@
                 &event::CONFIG_IN_FORCE,
                 &[("version", &version), ("from", &from)],
             );
-            self.waits.borrow_mut().clear();
-            self.news.notify_waiters();
+            self.caller_waits.borrow_mut().clear();
+            self.state_changed.notify_waiters();
         }
     }
 
@@ -38,7 +38,7 @@
         let count = usable.len();
         let changes = self.book.borrow_mut().set_backends(usable);
         for earlier in &changes.started {
-            self.kept.borrow_mut().forget(&earlier.id);
+            self.prompt_caches.borrow_mut().forget(&earlier.id);
             self.pool.forget(earlier.address);
         }
         self.update_preferred_engines();
@@ -47,11 +47,11 @@
             self.log_changes(&changes, count);
         }
         let book = self.book.borrow();
-        let mut kept = self.kept.borrow_mut();
+        let mut kept = self.prompt_caches.borrow_mut();
         kept.retain(|engine| book.view(engine).is_some());
         drop((book, kept));
-        self.freed.notify_waiters();
-        self.news.notify_waiters();
+        self.capacity_freed.notify_waiters();
+        self.state_changed.notify_waiters();
     }
 
     /// Recomputes which engines of its availability zone this host prefers.
--- a/src/relay/parts/server_limits.rs
+++ b/src/relay/parts/server_limits.rs
@@ -151,8 +151,8 @@
     fn announce_limit(&self, backend: &BackendInfo, saying: LimitSaying) {
         let mut news = self.limits.news.borrow_mut();
         if news.note(backend.key(), saying, MarkSource::Reported, self.now()) {
-            self.reported.notify_one();
-            self.news.notify_waiters();
+            self.findings_changed.notify_one();
+            self.state_changed.notify_waiters();
         }
     }
 
@@ -240,9 +240,9 @@
             return;
         }
         if source == MarkSource::Reported {
-            self.reported.notify_one();
+            self.findings_changed.notify_one();
         }
-        self.news.notify_waiters();
+        self.state_changed.notify_waiters();
     }
 
     // Logs changed limits, one line each up to a maximum.
--- a/src/relay/parts/shared.rs
+++ b/src/relay/parts/shared.rs
@@ -59,13 +59,13 @@
     /// The state of backend servers that routing decisions use.
     pub book: RefCell<BackendBook>,
     /// Prompt prefixes that engines have in their caches.
-    pub kept: RefCell<KeptPrompts>,
+    pub prompt_caches: RefCell<KeptPrompts>,
     /// The cluster state from the store.
     pub cluster: RefCell<ClusterState>,
     /// Retry budgets by service.
     pub budgets: RefCell<HashMap<FastStr, WindowBudget>>,
     /// Demand of the other hosts by service.
-    pub(super) others: RefCell<OthersDemand>,
+    pub(super) others_demand: RefCell<OthersDemand>,
     /// Limits of client accounts.
     pub accounts: AccountGate,
     /// Running probes that detect whether backend servers have ended.
@@ -77,17 +77,17 @@
     /// Permits for rate-limited backend servers.
     pub permits: PermitGate,
     /// How long callers have already waited, estimated by route.
-    pub waits: RefCell<CallerWaits>,
+    pub caller_waits: RefCell<CallerWaits>,
     /// Requests that wait for engines.
-    pub line: RefCell<WaitLine>,
+    pub wait_queue: RefCell<WaitLine>,
     /// Notified when engine memory or a place in the queue may have become free.
-    pub freed: Notify,
+    pub capacity_freed: Notify,
     /// Notified when there are findings to report to other hosts, from this host's requests or from hosts that report to it.
-    pub reported: Notify,
+    pub findings_changed: Notify,
     /// Notified when the configuration, the backend servers or the hosts have changed, or other data for peers.
-    pub news: Notify,
+    pub state_changed: Notify,
     /// A fully informed host that requested updates from this one while this one had no data.
-    pub informed: Cell<Option<SocketAddr>>,
+    pub informed_peer: Cell<Option<SocketAddr>>,
     /// When the store last sent a response of any kind; `None` if it never did.
     pub store_heard: Cell<Option<Duration>>,
     /// The era that the store's responses state.
@@ -123,21 +123,21 @@
             dialect,
             pool,
             book: RefCell::new(book),
-            kept: RefCell::default(),
+            prompt_caches: RefCell::default(),
             cluster: RefCell::new(cluster),
             budgets: RefCell::default(),
-            others: RefCell::default(),
+            others_demand: RefCell::default(),
             accounts: AccountGate::new(ledger),
             end_probes: EndProbes::default(),
             crashes: CrashRecords::new(book_id),
             permits: PermitGate::default(),
             limits: LimitExchange::new(book_id),
-            waits: RefCell::default(),
-            line: RefCell::default(),
-            freed: Notify::new(),
-            reported: Notify::new(),
-            news: Notify::new(),
-            informed: Cell::new(None),
+            caller_waits: RefCell::default(),
+            wait_queue: RefCell::default(),
+            capacity_freed: Notify::new(),
+            findings_changed: Notify::new(),
+            state_changed: Notify::new(),
+            informed_peer: Cell::new(None),
             store_heard: Cell::new(None),
             eras,
             metrics: RelayMetrics::default(),
@@ -345,7 +345,7 @@
         let metrics = &self.metrics;
         let cluster = self.cluster.borrow();
         metrics.in_flight.set(self.gate.in_flight() as i64);
-        metrics.waiting.set(self.line.borrow().len() as i64);
+        metrics.waiting.set(self.wait_queue.borrow().len() as i64);
         metrics.connections.set(self.pool.open() as i64);
         metrics.connections_opened.set(self.pool.opened() as i64);
         metrics.connections_reused.set(self.pool.reused() as i64);
--- a/src/relay/parts/shares.rs
+++ b/src/relay/parts/shares.rs
@@ -162,7 +162,7 @@
     pub fn fleet_demand(&self, service: &str) -> FleetDemand {
         FleetDemand {
             hosts: self.cluster.borrow().host_count(),
-            others: self.others.borrow().of(service, self.now()),
+            others: self.others_demand.borrow().of(service, self.now()),
         }
     }
 
@@ -204,7 +204,7 @@
         let now = self.now();
         self.apply_use_report(&report.accounts);
         self.book.borrow_mut().set_others(&report.loads, now);
-        *self.others.borrow_mut() = OthersDemand {
+        *self.others_demand.borrow_mut() = OthersDemand {
             demands: report.demands,
             reported_at: now,
         };
--- a/src/relay/request/handler.rs
+++ b/src/relay/request/handler.rs
@@ -123,7 +123,7 @@
     let Some(left) = call.marks.time_left else {
         return call;
     };
-    let mut waits = parts.waits.borrow_mut();
+    let mut waits = parts.caller_waits.borrow_mut();
     let waited = waits.waited(&call.route.name, left);
     call.with_waited(waited)
 }
--- a/src/relay/request/reserve.rs
+++ b/src/relay/request/reserve.rs
@@ -105,7 +105,7 @@
             book.memory_freed(&self.engine.id, self.tokens);
         }
         drop(book);
-        self.parts.freed.notify_waiters();
+        self.parts.capacity_freed.notify_waiters();
     }
 }
 
@@ -118,7 +118,7 @@
 
 impl LinePlace {
     fn join(parts: &Rc<RelayParts>, call: &RelayCall) -> Self {
-        let mut line = parts.line.borrow_mut();
+        let mut line = parts.wait_queue.borrow_mut();
         let entrant = LineEntrant {
             arrived: call.arrived,
             waited: call.waited,
@@ -136,14 +136,17 @@
     }
 
     fn is_first(&self) -> bool {
-        self.parts.line.borrow().ahead(&self.key) == 0
+        self.parts.wait_queue.borrow().ahead(&self.key) == 0
     }
 
     // Who can no longer be in time lets those go first who can.
     fn update(&mut self) {
         let key = self.entrant.key(self.key.ticket, self.parts.now());
         if key != self.key {
-            self.parts.line.borrow_mut().place(Some(self.key), key);
+            self.parts
+                .wait_queue
+                .borrow_mut()
+                .place(Some(self.key), key);
             self.key = key;
         }
     }
@@ -151,8 +154,8 @@
 
 impl Drop for LinePlace {
     fn drop(&mut self) {
-        self.parts.line.borrow_mut().leave(&self.key);
-        self.parts.freed.notify_waiters();
+        self.parts.wait_queue.borrow_mut().leave(&self.key);
+        self.parts.capacity_freed.notify_waiters();
     }
 }
 
@@ -173,7 +176,7 @@
     let give_up = call.until.min(since + admission::WAIT_LIMIT);
     let mut place = LinePlace::join(parts, call);
     loop {
-        let freed = parts.freed.notified();
+        let freed = parts.capacity_freed.notified();
         tokio::pin!(freed);
         freed.as_mut().enable();
         if place.is_first()
--- a/src/relay/request/seek.rs
+++ b/src/relay/request/seek.rs
@@ -23,7 +23,7 @@
     for engines in [near, far] {
         let asked: Vec<BackendInfo> = engines.into_iter().take(ENGINES_MAX).collect();
         future::join_all(asked.iter().map(|engine| hear(parts, engine))).await;
-        let found = parts.kept.borrow().best_of(&asked, part);
+        let found = parts.prompt_caches.borrow().best_of(&asked, part);
         if found.is_some() {
             return found;
         }
@@ -33,7 +33,11 @@
 
 // Has an engine tell what it keeps, unless it did so a moment ago.
 async fn hear(parts: &Rc<RelayParts>, engine: &BackendInfo) {
-    let Some(question) = parts.kept.borrow().question(&engine.id, parts.now()) else {
+    let Some(question) = parts
+        .prompt_caches
+        .borrow()
+        .question(&engine.id, parts.now())
+    else {
         return;
     };
     let engines = &parts.dialect.engines;
@@ -41,7 +45,7 @@
     match parts.call_backend(engine, call, NEWS_PATIENCE).await {
         Ok((StatusCode::OK, body)) => {
             let news = (engines.read_cache)(question, &body);
-            let mut kept = parts.kept.borrow_mut();
+            let mut kept = parts.prompt_caches.borrow_mut();
             match news {
                 Some(news) => kept.take(&engine.id, news, parts.now()),
                 None => kept.forget(&engine.id),
