--- a/src/relay/parts/accounts.rs
+++ b/src/relay/parts/accounts.rs
@@ -183,9 +183,9 @@
         let is_untold = self.accounts.allowances.borrow().is_untold();
         let attempts = if is_untold { LEDGER_QUERY_ATTEMPTS } else { 1 };
         for _ in 0..attempts {
-            let asked = self.query_ledger_owner(charge, limit, patience).await?;
-            if let Some(answer) = asked {
-                return Ok(answer);
+            let decision = self.query_ledger_owner(charge, limit, patience).await?;
+            if let Some(decision) = decision {
+                return Ok(decision);
             }
         }
         let mut allowances = self.accounts.allowances.borrow_mut();
--- a/src/relay/parts/permits.rs
+++ b/src/relay/parts/permits.rs
@@ -46,7 +46,7 @@
     alone: RefCell<PermitAllocator>,
     call: RefCell<Option<Rc<PermitCall>>>,
     // When another host last sent a response or a request.
-    peer_heard: Cell<Option<Duration>>,
+    last_contact: Cell<Option<Duration>>,
     /// Selects the host that allocates the permits for a server, among those that respond.
     pub owners: RefCell<PermitOwners>,
 }
@@ -142,11 +142,11 @@
 
     async fn request_permit(&self, backend: &BackendInfo, rank: u8) {
         let server = backend.key();
-        let ask = self.book.borrow().limits.ask(server, rank, self.now());
-        let Some(ask) = ask else { return };
+        let request = self.book.borrow().limits.ask(server, rank, self.now());
+        let Some(request) = request else { return };
         let grant = match self.permits.call() {
-            Some(call) => call(backend.zone.clone(), ask).await,
-            None => self.allocate_share(&ask),
+            Some(call) => call(backend.zone.clone(), request).await,
+            None => self.allocate_share(&request),
         };
         self.apply_limit(backend, grant.saying, "host");
         let now = self.now();
@@ -186,16 +186,16 @@
 
     /// Records that another host sent a response or a request.
     pub fn record_peer_contact(&self) {
-        self.permits.peer_heard.set(Some(self.now()));
+        self.permits.last_contact.set(Some(self.now()));
     }
 
     /// Returns whether this host has heard from another one recently or is the only host.
     pub fn has_peer_contact(&self) -> bool {
         let now = self.now();
-        let heard = self.permits.peer_heard.get();
-        let is_heard = heard.is_some_and(|at| now.saturating_sub(at) < CONTACT_TIMEOUT);
+        let last_contact = self.permits.last_contact.get();
+        let has_contact = last_contact.is_some_and(|at| now.saturating_sub(at) < CONTACT_TIMEOUT);
         let knows_hosts = self.cluster.borrow().hosts_position().is_known();
-        is_heard || (knows_hosts && self.live_other_hosts() == 0)
+        has_contact || (knows_hosts && self.live_other_hosts() == 0)
     }
 
     // Number of other listed hosts, without those known to be gone.
--- a/src/relay/parts/publish.rs
+++ b/src/relay/parts/publish.rs
@@ -21,8 +21,8 @@
     /// Activates a configuration from the store or another host if it is newer than the current one.
     pub fn offer_config(&self, config: RelayConfig, from: &str) {
         let version = config.version;
-        let taken = self.cluster.borrow_mut().update_config(config);
-        if taken {
+        let is_newer = self.cluster.borrow_mut().update_config(config);
+        if is_newer {
             event::emit(
                 &event::CONFIG_IN_FORCE,
                 &[("version", &version), ("from", &from)],
--- a/src/relay/parts/server_limits.rs
+++ b/src/relay/parts/server_limits.rs
@@ -52,7 +52,7 @@
 /// The limits of rate-limited servers that hosts exchange.
 #[derive(Debug)]
 pub struct LimitExchange {
-    news: RefCell<LimitUpdates>,
+    updates: RefCell<LimitUpdates>,
     // Position up to which this host has received the updates of each other host, by its address.
     received: RefCell<HashMap<SocketAddr, CachePosition>>,
 }
@@ -61,7 +61,7 @@
     /// Creates an empty exchange; `id` is random.
     pub(super) fn new(id: u64) -> Self {
         Self {
-            news: RefCell::new(LimitUpdates::new(id)),
+            updates: RefCell::new(LimitUpdates::new(id)),
             received: RefCell::default(),
         }
     }
@@ -136,21 +136,21 @@
         if !was_limited && saying.limit.is_none() {
             return false;
         }
-        let shown = book.limits.take(backend.key(), saying, now);
+        let before = book.limits.take(backend.key(), saying, now);
         drop(book);
         self.announce_limit(backend, saying);
         if !was_limited {
             self.update_ownership(backend);
         }
-        if let Some(before) = shown {
+        if let Some(before) = before {
             self.log_limit(backend, saying, before, from);
         }
         was_limited
     }
 
     fn announce_limit(&self, backend: &BackendInfo, saying: LimitSaying) {
-        let mut news = self.limits.news.borrow_mut();
-        if news.note(backend.key(), saying, MarkSource::Reported, self.now()) {
+        let mut updates = self.limits.updates.borrow_mut();
+        if updates.note(backend.key(), saying, MarkSource::Reported, self.now()) {
             self.findings_changed.notify_one();
             self.state_changed.notify_waiters();
         }
@@ -221,22 +221,22 @@
     /// Applies limits that another host sent.
     pub fn apply_limits(&self, marks: &[LimitUpdate], source: MarkSource) {
         let now = self.now();
-        let mut shown = BTreeMap::new();
-        let mut has_news = false;
+        let mut changed = BTreeMap::new();
+        let mut has_updates = false;
         for mark in marks {
             let saying = LimitSaying::told(mark.limit, mark.age, now);
             let taken = self.book.borrow_mut().limits.take(mark.server, saying, now);
             if let Some(before) = taken {
-                shown.insert(mark.server, (saying, before));
+                changed.insert(mark.server, (saying, before));
             }
-            let mut news = self.limits.news.borrow_mut();
-            has_news |= news.note(mark.server, saying, source, now);
+            let mut updates = self.limits.updates.borrow_mut();
+            has_updates |= updates.note(mark.server, saying, source, now);
         }
-        self.log_limit_changes(&shown);
-        if has_news {
+        self.log_limit_changes(&changed);
+        if has_updates {
             self.update_all_ownership();
         }
-        if !has_news {
+        if !has_updates {
             return;
         }
         if source == MarkSource::Reported {
@@ -246,13 +246,16 @@
     }
 
     // Logs changed limits, one line each up to a maximum.
-    fn log_limit_changes(&self, shown: &BTreeMap<EngineKey, (LimitSaying, Option<ServerLimit>)>) {
-        let listed = match shown.is_empty() {
+    fn log_limit_changes(&self, changed: &BTreeMap<EngineKey, (LimitSaying, Option<ServerLimit>)>) {
+        let listed = match changed.is_empty() {
             true => return,
-            false => self.book.borrow().listed(&shown.keys().copied().collect()),
+            false => self
+                .book
+                .borrow()
+                .listed(&changed.keys().copied().collect()),
         };
         for backend in listed.iter().take(LOGGED_LIMITS_MAX) {
-            let (saying, before) = shown[&backend.key()];
+            let (saying, before) = changed[&backend.key()];
             self.log_limit(backend, saying, before, "news");
         }
         let more = listed.len().saturating_sub(LOGGED_LIMITS_MAX);
@@ -271,12 +274,15 @@
 
     /// Returns the limits for all hosts that a peer lacks.
     pub fn limit_updates(&self, known: CachePosition) -> CacheUpdates<LimitUpdate> {
-        self.limits.news.borrow().since(known, self.now())
+        self.limits.updates.borrow().since(known, self.now())
     }
 
     /// Returns the limits to report to another host that changed after a revision, and the revision that they reach.
     pub fn limits_to_report(&self, since: Option<u64>) -> (Vec<LimitUpdate>, u64) {
-        self.limits.news.borrow().reported_since(since, self.now())
+        self.limits
+            .updates
+            .borrow()
+            .reported_since(since, self.now())
     }
 
     /// Returns a page for operators with one line for each rate-limited server.
@@ -307,7 +313,7 @@
         let is_listed = |name: &FastStr| cluster.hosts().any(|entry| entry.name == *name);
         self.permits.forget_old(is_listed, self.now());
         let gone = self.book.borrow_mut().limits.forget_old(self.now());
-        self.limits.news.borrow_mut().forget_old(self.now());
+        self.limits.updates.borrow_mut().forget_old(self.now());
         if !gone.is_empty() {
             log::info!(
                 "removed {} server limits that no response has confirmed for a long time",
--- a/src/relay/roles/keeper.rs
+++ b/src/relay/roles/keeper.rs
@@ -271,7 +271,7 @@
             .parts
             .call_backend(&change.engine, call, ORDER_TIMEOUT)
             .await;
-        let (pause, outcome) = match &answer {
+        let (delay, outcome) = match &answer {
             Ok((StatusCode::OK | StatusCode::ACCEPTED, _)) => {
                 (ROLE_CHANGE_TIME, "taken".to_owned())
             }
@@ -288,7 +288,7 @@
             Err(failure) => (ROLE_CHANGE_TIME, failure.to_string()),
         };
         let engine = change.engine.id.clone();
-        self.next_order_at.insert(engine.clone(), now + pause);
+        self.next_order_at.insert(engine.clone(), now + delay);
         event::emit(
             &event::ORDER_SENT,
             &[
