--- a/src/relay/policy/admission.rs
+++ b/src/relay/policy/admission.rs
@@ -1,7 +1,7 @@
-//! Who is served next when engines have no memory for all, and what has to stay free for the others.
+//! Queue order and memory headroom when the engines have no memory for all requests.
 //!
-//! Plain functions without clock or socket. They answer bursts beyond what the decode engines hold: hosts decide
-//! apart, so a request that can only be late must leave memory to those that others could still serve in time.
+//! Pure functions, for bursts beyond the capacity of the decode engines. Hosts decide independently, so a request that
+//! will miss its latency target leaves memory to requests, also of other hosts, that can still meet theirs.
 
 use {
     super::line::LineKey,
@@ -9,62 +9,62 @@
     std::{ops::RangeInclusive, time::Duration},
 };
 
-/// Part of an engine's memory that has to be free beside what a request reserves: answers grow into it
-/// beyond what is reserved for them. Where none is free one of those is put back and computed anew, which
-/// costs more than a request that waits.
+/// Fraction of an engine's memory that must stay free beside a request's reservation, because answers grow beyond
+/// what is reserved for them. When it runs out, the engine preempts and recomputes a request, which costs more than
+/// letting one wait.
 const HEADROOM_SHARE: f64 = 0.055;
 
-/// The same for a request that can no longer be in time: memory that others could still use in time is left to
-/// them, also to those that wait at other hosts.
+/// The same for a request that can no longer meet its latency target: the memory is left to requests that can,
+/// including those queued at other hosts.
 const LATE_HEADROOM_SHARE: f64 = 0.2;
 
-/// From the reservation to the first event: the prefill and the first step.
+/// Time from the reservation to the first event: the prefill and the first decode step.
 const SERVICE_TIME: Duration = Duration::from_millis(250);
 
-/// Part of an answer's expected tokens that is reserved for it alone; the rest it finds in the headroom, which
-/// all answers of an engine share.
+/// Fraction of an answer's expected tokens that is reserved; the rest comes out of the headroom, which all answers of
+/// an engine share.
 const RESERVED_ANSWER: f64 = 0.3;
 
-/// Tokens of a request of the usual size, prompt and answer.
-const USUAL_TOKENS: f64 = 4_000.0;
+/// Tokens of a typical request, prompt and answer.
+const TYPICAL_TOKENS: f64 = 4_000.0;
 
-/// Bounds of what a request's size makes of its latency target when the line is ordered: the largest
-/// wait one target longer than the usual, no more.
-const SIZE_FACTOR_LEAST: f64 = 0.3;
-const SIZE_FACTOR_MOST: f64 = 2.0;
+/// Bounds of the factor by which a request's size scales its latency target in the queue order: the largest requests
+/// rank at most one target later than a typical one.
+const SIZE_FACTOR_MIN: f64 = 0.3;
+const SIZE_FACTOR_MAX: f64 = 2.0;
 
-/// Longest wait of a request for memory: callers give a stream up after some seconds without events. Longer waits
-/// serve more of them late and fewer in time.
+/// Maximum time that a request waits for memory. Callers abandon a stream after a few seconds without events, and
+/// longer waits serve more requests late and fewer in time.
 pub(crate) const WAIT_LIMIT: Duration = Duration::from_millis(1_200);
 
-/// When callers are to come back after a refusal for lack of memory: what fills it runs for some three seconds, and a
-/// burst lasts four or five. Who comes back after one second is mostly refused again. Spread, so that those refused
-/// together come back apart.
+/// Retry delay given to callers that are refused for lack of memory. The requests that fill it run for about three
+/// seconds and a burst lasts four or five, so a retry after one second is mostly refused again. The delay is
+/// randomized so that callers refused together do not return together.
 pub(crate) const COME_BACK: RangeInclusive<Duration> =
     Duration::from_millis(2_400)..=Duration::from_millis(4_600);
 
-/// A request that waits for memory at an engine.
+/// A request queued for memory at an engine.
 #[derive(Debug, Clone, Copy)]
 pub struct LineEntrant {
-    /// When it came, on the host's clock.
+    /// Arrival time on the host's clock.
     pub arrived: Duration,
-    /// How long its caller had waited before, with an earlier try.
+    /// How long its caller had already waited in earlier attempts.
     pub waited: Duration,
-    /// Time from the caller's first try to the first event that is in time.
+    /// Latency target for the first event, counted from the caller's first attempt.
     pub target: Duration,
-    /// 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Tokens of its prompt and, as far as that is known, of its answer.
+    /// Tokens of its prompt and, if known, of its answer.
     pub tokens: u64,
 }
 
 impl LineEntrant {
-    /// Its place in the line as of now. Who can no longer be in time lets those go first who can; small requests
-    /// go before large ones that came a little earlier, since they take less memory for less time, and a line
-    /// that is not served in full serves more of them in time.
+    /// Sort key of the request in the queue as of now. Requests that can still meet their target come first. Small
+    /// requests go ahead of large ones that arrived slightly earlier: they need less memory for a shorter time, so
+    /// more requests are served in time when the queue cannot be served in full.
     pub fn key(&self, ticket: u64, now: Duration) -> LineKey {
         let due = self.arrived + self.target.saturating_sub(self.waited);
-        let size = (self.tokens as f64 / USUAL_TOKENS).clamp(SIZE_FACTOR_LEAST, SIZE_FACTOR_MOST);
+        let size = (self.tokens as f64 / TYPICAL_TOKENS).clamp(SIZE_FACTOR_MIN, SIZE_FACTOR_MAX);
         LineKey {
             late: now + SERVICE_TIME > due,
             priority: self.priority,
@@ -74,16 +74,16 @@
     }
 }
 
-/// Tokens of memory that a request reserves. An engine's memory fills as answers grow, and those that run are at
-/// all stages of it: reserving each whole answer would leave memory unused.
+/// Memory that a request reserves, in tokens. Running answers are at all stages of their growth, so reserving every
+/// answer in full would leave memory unused.
 pub fn reserved_tokens(marks: &CallMarks) -> u64 {
     let expected = marks.answer_hint.unwrap_or(marks.answer_limit / 2);
     let expected = expected.min(marks.answer_limit);
     marks.prompt_tokens + (expected as f64 * RESERVED_ANSWER) as u64
 }
 
-/// Tokens that have to be free at an engine beside what a request reserves there. One that fills the engine's memory
-/// leaves no headroom.
+/// Tokens that must stay free at an engine beside a request's reservation. The headroom shrinks to nothing for a
+/// request that fills the engine's whole memory.
 pub fn headroom(memory: u64, tokens: u64, is_late: bool) -> u64 {
     let share = match is_late {
         true => LATE_HEADROOM_SHARE,
--- a/src/relay/policy/book.rs
+++ b/src/relay/policy/book.rs
@@ -1,6 +1,6 @@
-//! What this host knows of each backend server, from its own requests, and whom it would choose.
+//! Health and load of each backend server as this host's own requests show them, and the choice of a server.
 //!
-//! A plain state machine: what happened and the time go in, an order of preference comes out.
+//! A state machine without I/O: observations and the current time go in, a ranked list of servers comes out.
 
 use {
     super::{
@@ -18,67 +18,67 @@
     },
 };
 
-/// Longest time that one is passed over: a restart takes a few seconds.
-const EJECT_LONGEST: Duration = Duration::from_secs(4);
+/// Upper bound of an ejection: a server restart takes a few seconds.
+const EJECT_MAX: Duration = Duration::from_secs(4);
 
-/// Weight of the newest answer in the share of failed answers.
+/// Weight of the newest response in the moving average of the error rate.
 const ERROR_WEIGHT: f64 = 0.15;
 
-/// How long an engine that had no room is not asked again for as much.
+/// After an engine refuses a request for lack of memory, how long requests of that size or larger skip it.
 const REFUSED_TIME: Duration = Duration::from_millis(60);
 
-/// Prompt tokens a second that a prefill engine computes, before any was observed.
+/// Assumed prefill throughput, in prompt tokens per second, until one has been measured.
 const PREFILL_RATE: f64 = 20_000.0;
 
-/// How long an engine that declined is passed over: a change of role takes some seconds, and each look
-/// costs a repeat.
+/// How long an engine that declined a request is skipped: a role change takes a few seconds, and each attempt
+/// meanwhile costs a retry.
 const DECLINE_TIME: Duration = Duration::from_millis(1_500);
 
-/// How long what other hosts' requests take at engines is taken to stay as they last reported.
+/// Lifetime of the loads that other hosts report; older ones are ignored.
 pub(crate) const OTHERS_LIFE: Duration = Duration::from_millis(1_500);
 
-/// Requests in progress that a backoff which has just ended counts as: work comes back step by step.
+/// Score penalty, in requests in flight, of a server whose backoff has just ended: its load ramps up gradually.
 const RETURN_PENALTY: f64 = 6.0;
 
-/// Other hosts from which on a backend server is passed over that fails them: one alone may be cut off from
-/// it.
-const OTHERS_TO_EJECT: u32 = 2;
+/// Number of other hosts that must have ejected a backend server before this host avoids it too: a single one may
+/// just have lost its connection to the server.
+const PEER_EJECTIONS_TO_AVOID: u32 = 2;
 
-/// What is known of a send, for the choice of its server.
+/// Properties of an attempt that constrain the choice of its server.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct SendWish {
-    /// How urgent the request is, 0 the most.
+    /// Priority of the request; 0 is the most urgent.
     pub rank: u8,
-    /// Only servers without a limit come into question: a second send while another is in progress, whose permit would be
-    /// another request's, or one that had no permit at several.
+    /// Only servers without a rate limit are eligible. Set for a hedged attempt, which would take a permit from
+    /// another request, and for a request that several servers refused for lack of a permit.
     pub needs_no_permit: bool,
 }
 
-/// Where a plain request is sent next.
+/// Where to send the next attempt of a plain request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlainChoice {
-    /// To this server.
+    /// Send to this server.
     Send(BackendInfo),
-    /// To none: all that are left fail, and others show whether they answer again.
+    /// Every untried server is failing, and requests in flight already probe them.
     Unreachable,
-    /// To none: all that are left are rate-limited, and no permit is left there before this time is over.
+    /// Every untried server is rate-limited; no permit is expected before this wait is over.
     NoPermit(PermitWait),
-    /// To none: all were tried, or none is listed.
+    /// Every server was tried, or none is listed.
     NoneLeft,
 }
 
-/// All backend servers that this host may send to.
+/// State of every backend server that this host may send to.
 #[derive(Debug)]
 pub struct BackendBook {
     pub(super) views: BTreeMap<FastStr, BackendView>,
     next_call: u64,
-    // When the others' loads were told.
-    others_at: Option<Duration>,
-    // Prompt tokens a second that prefill engines were seen to compute at best.
+    // When the loads of other hosts were last received.
+    peer_loads_at: Option<Duration>,
+    // Best observed prefill throughput, in prompt tokens per second.
     pub(super) prefill_rate: f64,
-    /// Those that name a limit.
+    /// Rate limits that servers announce.
     pub limits: LimitBook,
-    /// Those that are leaving, or asked this host to back off.
+    /// Servers that are draining or asked this host to back off.
     pub availability: AvailabilityBook,
 }
 
@@ -87,7 +87,7 @@
         Self {
             views: BTreeMap::new(),
             next_call: 0,
-            others_at: None,
+            peer_loads_at: None,
             prefill_rate: PREFILL_RATE,
             limits: LimitBook::default(),
             availability: AvailabilityBook::default(),
@@ -96,8 +96,7 @@
 }
 
 impl BackendBook {
-    /// Takes the list of backend servers; what is known of those that stay is kept. Gives what is other than
-    /// before.
+    /// Replaces the list of backend servers, keeps the state of those that stay and returns the differences.
     pub fn set_backends(&mut self, backends: Vec<BackendInfo>) -> BackendChanges {
         let mut changes = BackendChanges::default();
         let mut known = std::mem::take(&mut self.views);
@@ -106,7 +105,7 @@
             if before.as_ref().is_none_or(|view| view.info != info) {
                 changes.note(before.as_ref().map(|view| &view.info), &info);
             }
-            // A run that begins anew under its id knows nothing of before, and nothing is known of it.
+            // A server that restarted under the same id has lost its state, so what was observed of it no longer holds.
             let view = match before {
                 Some(view) if view.info.born == info.born => BackendView {
                     run: info.run(),
@@ -121,57 +120,57 @@
         changes
     }
 
-    /// Takes the engines that this host works with first; all others come after them.
+    /// Sets the engines that this host prefers over all others (see `subset`).
     pub fn set_preferred(&mut self, preferred: &BTreeSet<FastStr>) {
         for view in self.views.values_mut() {
             view.is_preferred = preferred.contains(&view.info.id);
         }
     }
 
-    /// The engines that this host works with first, as reports name them.
+    /// Keys of the preferred engines, as used in load reports.
     pub fn preferred_keys(&self) -> Vec<EngineKey> {
         let engines = self.views.values().filter(|view| view.info.role.is_some());
         let preferred = engines.filter(|view| view.is_preferred);
         preferred.map(|view| view.key).collect()
     }
 
-    /// What is known of one.
+    /// The state of one server.
     pub fn view(&self, id: &str) -> Option<&BackendView> {
         self.views.get(id)
     }
 
-    /// Whether a run is the one that is listed under its id now: what becomes of an earlier one tells nothing of it.
+    /// Whether this run of a server is the one listed now. Results of an earlier run say nothing about the current one.
     pub fn is_current(&self, backend: &BackendInfo) -> bool {
         self.view(&backend.id)
             .is_some_and(|view| view.info.born == backend.born)
     }
 
-    /// Those of some runs that are listed.
+    /// The listed servers among these runs.
     pub fn listed(&self, runs: &BTreeSet<EngineKey>) -> Vec<BackendInfo> {
         let views = self.views.values();
         let listed = views.filter(|view| runs.contains(&view.key));
         listed.map(|view| view.info.clone()).collect()
     }
 
-    /// Whether a later run is listed under the id of this one.
+    /// Whether the server has restarted since this run: a later one is listed under the same id.
     pub fn has_begun_anew(&self, backend: &BackendInfo) -> bool {
         self.view(&backend.id)
             .is_some_and(|view| view.info.born > backend.born)
     }
 
-    /// What is known of all.
+    /// The state of every server.
     pub fn views(&self) -> impl Iterator<Item = &BackendView> {
         self.views.values()
     }
 
-    /// One says itself, or by silence, that it takes no new work.
+    /// Marks a server as draining: it announced that it takes no new work, or stopped responding.
     pub fn set_leaving(&mut self, id: &str) {
         if let Some(view) = self.views.get_mut(id) {
             view.info.leaving = true;
         }
     }
 
-    /// The backend servers of a plain service that were not tried, best first.
+    /// The untried backend servers of a plain service, best first.
     pub fn rank_plain(
         &self,
         service: &str,
@@ -185,18 +184,18 @@
         sorted(views, |view| {
             let returning = self.availability.returning(&view.run, now) * RETURN_PENALTY;
             (
-                self.is_passed_over(view, now),
+                self.is_avoided(view, now),
                 order(view.plain_score(zone, now) + returning),
                 self.limits.order(view.key, now),
             )
         })
     }
 
-    /// Where a plain request is sent next.
+    /// Chooses the server for the next attempt of a plain request.
     ///
-    /// Answers a zone that is cut off without a server of its own, or a service that is down as a whole: each
-    /// request would wait for a connection, 0.3 s a server, and be refused after all. One at a time shows
-    /// whether a server answers again, the others are refused at once.
+    /// When every server of a service is down, or unreachable from a zone that has none of its own, each request
+    /// would wait 0.3 s per server for a connection and fail anyway. So a single request per server probes whether
+    /// it responds again, and all others are refused at once.
     pub fn choose_plain(
         &self,
         service: &str,
@@ -222,19 +221,19 @@
             return wait.map_or(PlainChoice::NoneLeft, PlainChoice::NoPermit);
         };
         let view = &self.views[&best.id];
-        if !self.is_passed_over(view, now) {
+        if !self.is_avoided(view, now) {
             return PlainChoice::Send(best.clone());
         }
-        // A request that has found one of them out of reach is not held for another.
+        // A request that has already failed to reach one server does not probe another.
         let mut views = ranked.iter().map(|info| &self.views[&info.id]);
-        let untried = views.find(|view| tried.is_empty() && !view.is_being_tried());
+        let untried = views.find(|view| tried.is_empty() && !view.is_being_probed());
         match untried {
             Some(view) => PlainChoice::Send(view.info.clone()),
             None => PlainChoice::Unreachable,
         }
     }
 
-    /// The servers of a service that are rate-limited and have no permit left for a request of a rank.
+    /// The rate-limited servers of a service that have no permit left for a request of this priority.
     pub fn without_permit(&self, service: &str, rank: u8, now: Duration) -> Vec<FastStr> {
         if self.limits.is_empty() {
             return Vec::new();
@@ -249,7 +248,7 @@
         views.map(|view| view.info.id.clone()).collect()
     }
 
-    /// What the requests of this host take at engines, and which backend servers it passes over.
+    /// The load of this host's own requests per engine, and the backend servers that it has ejected.
     pub fn loads(&self, now: Duration) -> Vec<EngineLoad> {
         let views = self.views.values();
         let told =
@@ -262,37 +261,37 @@
         .collect()
     }
 
-    /// What the requests of all other hosts take at engines; none where none is named.
+    /// Sets the loads of all other hosts; a server that is not listed counts as idle.
     pub fn set_others(&mut self, loads: &[EngineLoad], now: Duration) {
         let told: BTreeMap<EngineKey, &EngineLoad> =
             loads.iter().map(|load| (load.engine, load)).collect();
         for view in self.views.values_mut() {
             let load = told.get(&view.key);
-            view.others_tokens = load.map_or(0, |load| load.memory_tokens);
-            view.others_out = load.map_or(0, |load| load.passed_over);
+            view.peer_tokens = load.map_or(0, |load| load.memory_tokens);
+            view.peer_ejections = load.map_or(0, |load| load.passed_over);
         }
-        self.others_at = Some(now);
+        self.peer_loads_at = Some(now);
     }
 
-    fn knows_others(&self, now: Duration) -> bool {
-        let told = self.others_at;
+    fn has_peer_loads(&self, now: Duration) -> bool {
+        let told = self.peer_loads_at;
         told.is_some_and(|at| now.saturating_sub(at) < OTHERS_LIFE)
     }
 
-    /// Tokens that requests take at an engine, as far as is known.
-    pub(super) fn known_tokens(&self, view: &BackendView, now: Duration) -> u64 {
-        let others = if self.knows_others(now) {
-            view.others_tokens
+    /// Memory in use at an engine, in tokens, by requests of this host and, if reported recently, of others.
+    pub(super) fn known_load(&self, view: &BackendView, now: Duration) -> u64 {
+        let others = if self.has_peer_loads(now) {
+            view.peer_tokens
         } else {
             0
         };
         view.memory_tokens + others
     }
 
-    /// Whether this host, or enough others, pass a backend server over.
-    pub(super) fn is_passed_over(&self, view: &BackendView, now: Duration) -> bool {
-        let others_do = self.knows_others(now) && view.others_out >= OTHERS_TO_EJECT;
-        view.is_out(now) || view.is_on_trial() || others_do
+    /// Whether a backend server is ejected by this host or by enough others, or is being probed after an ejection.
+    pub(super) fn is_avoided(&self, view: &BackendView, now: Duration) -> bool {
+        let peers_do = self.has_peer_loads(now) && view.peer_ejections >= PEER_EJECTIONS_TO_AVOID;
+        view.is_out(now) || view.is_on_trial() || peers_do
     }
 
     pub(super) fn usable<'a>(
@@ -305,7 +304,8 @@
             .filter(move |view| view.info.service == service && self.in_rotation(view, now))
     }
 
-    /// A request was sent, under which servers ended before or not; its number ends it.
+    /// Records a request in flight and returns its number, which `call_ended` takes. `is_suspected` marks a request
+    /// that servers have crashed under before.
     pub fn call_began(&mut self, id: &str, is_suspected: bool, now: Duration) -> u64 {
         self.next_call += 1;
         if let Some(view) = self.views.get_mut(id) {
@@ -317,7 +317,7 @@
         self.next_call
     }
 
-    /// A request is no longer in progress.
+    /// Records that a request is no longer in flight.
     pub fn call_ended(&mut self, id: &str, call: u64) {
         if let Some(view) = self.views.get_mut(id) {
             view.calls.remove(&call);
@@ -325,30 +325,29 @@
         }
     }
 
-    /// An answer came, good or not.
+    /// Records a response. Any response resets the count of consecutive failures; a good one also ends the ejection.
     pub fn answered(&mut self, id: &str, is_good: bool) {
         if let Some(view) = self.views.get_mut(id) {
             let failed = f64::from(u8::from(!is_good));
-            view.error_share += ERROR_WEIGHT * (failed - view.error_share);
+            view.error_rate += ERROR_WEIGHT * (failed - view.error_rate);
             view.failures = 0;
             if is_good {
-                view.out_until = Duration::ZERO;
-                view.out_time = EJECT_FIRST;
+                view.ejected_until = Duration::ZERO;
+                view.ejection_time = EJECT_FIRST;
             }
         }
     }
 
-    /// No answer came: the connection failed, or it stayed silent. Gives whether the backend server
-    /// is passed over from now on.
+    /// Records a failed connection or a timeout and returns whether this ejects the backend server.
     pub fn failed(&mut self, id: &str, failure: BackendFailure, now: Duration) -> bool {
         let Some(view) = self.views.get_mut(id) else {
             return false;
         };
-        view.error_share += ERROR_WEIGHT * (1.0 - view.error_share);
+        view.error_rate += ERROR_WEIGHT * (1.0 - view.error_rate);
         let was_failing = view.failures >= FAILURES_TO_EJECT;
         view.failures += match failure {
             BackendFailure::Broken => 1,
-            // Each look at a silent server costs the requests behind it as long a wait again.
+            // One timeout is enough: every further attempt would cost requests the full timeout again.
             BackendFailure::Silent => FAILURES_TO_EJECT,
         };
         if view.failures >= FAILURES_TO_EJECT && !was_failing {
@@ -357,41 +356,42 @@
         if view.failures < FAILURES_TO_EJECT || view.is_out(now) {
             return false;
         }
-        view.out_until = now + view.out_time;
-        view.out_time = (view.out_time * 2).min(EJECT_LONGEST);
+        view.ejected_until = now + view.ejection_time;
+        view.ejection_time = (view.ejection_time * 2).min(EJECT_MAX);
         true
     }
 
-    /// A plain server turned a request away. One that does so at once has few in progress, and is not to draw more by that.
+    /// Records that a plain server rejected a request. A server that rejects at once has few requests in flight and
+    /// would otherwise look idle and attract more.
     pub fn turned_away(&mut self, id: &str, now: Duration) {
         if let Some(view) = self.views.get_mut(id) {
-            view.note_turned_away(now);
+            view.note_rejection(now);
         }
     }
 
-    /// An engine declined its part of a request, or its part was of no use: it may be changing its
-    /// role, or its caches may lapse too soon.
+    /// Records that an engine declined its stage of a request or that its result was unusable: it may be changing its
+    /// role, or its KV caches may expire too soon.
     pub fn declined(&mut self, id: &str, now: Duration) {
         if let Some(view) = self.views.get_mut(id) {
             view.declines_until = now + DECLINE_TIME;
         }
     }
 
-    /// An engine had no room for this many tokens.
+    /// Records that an engine had no memory for this many tokens.
     pub fn refused(&mut self, id: &str, tokens: u64, now: Duration) {
         if let Some(view) = self.views.get_mut(id) {
             view.refused = Some((now + REFUSED_TIME, tokens));
         }
     }
 
-    /// Memory at an engine is taken by a request of this host.
+    /// Records that a request of this host reserved memory at an engine.
     pub fn memory_taken(&mut self, id: &str, tokens: u64) {
         if let Some(view) = self.views.get_mut(id) {
             view.memory_tokens += tokens;
         }
     }
 
-    /// Memory at an engine is free again.
+    /// Records that a request of this host released memory at an engine.
     pub fn memory_freed(&mut self, id: &str, tokens: u64) {
         if let Some(view) = self.views.get_mut(id) {
             view.memory_tokens = view.memory_tokens.saturating_sub(tokens);
@@ -399,14 +399,14 @@
         }
     }
 
-    /// A prefill of this many tokens was sent.
+    /// Records a prefill of this many tokens in flight.
     pub fn prefill_began(&mut self, id: &str, tokens: u64) {
         if let Some(view) = self.views.get_mut(id) {
             view.prefill_tokens += tokens;
         }
     }
 
-    /// A prefill of this many tokens is no longer in progress.
+    /// Records that a prefill of this many tokens is no longer in flight.
     pub fn prefill_ended(&mut self, id: &str, tokens: u64) {
         if let Some(view) = self.views.get_mut(id) {
             view.prefill_tokens = view.prefill_tokens.saturating_sub(tokens);
@@ -414,7 +414,7 @@
     }
 }
 
-// Scores as whole numbers, so that they can be compared with other keys.
+// Converts a score to an integer, which is `Ord` and can be part of a sort key.
 fn order(score: f64) -> u64 {
     (score * 1_000.0) as u64
 }
--- a/src/relay/policy/engines.rs
+++ b/src/relay/policy/engines.rs
@@ -1,4 +1,4 @@
-//! Which engine computes a prompt, and which one decodes: choices by what the book knows.
+//! Choice of the prefill and decode engines of a request.
 
 use {
     super::{
@@ -11,30 +11,31 @@
     std::time::Duration,
 };
 
-/// Delay that a prefill engine of another zone counts as: its KV cache takes the dearer way.
-const AWAY_DELAY: f64 = 0.04;
+/// Delay penalty, in seconds, of a prefill engine in another zone: its KV cache takes the more expensive link.
+const OTHER_ZONE_DELAY: f64 = 0.04;
 
-/// Delay that a prefill engine outside the host's subset counts as, seconds: a new connection takes a millisecond, but what
-/// is known of its queue is older.
-const OUTSIDE_DELAY: f64 = 0.12;
+/// Delay penalty, in seconds, of a prefill engine outside the host's subset: a new connection takes only a
+/// millisecond, but what is known of its queue is older.
+const OUTSIDE_SUBSET_DELAY: f64 = 0.12;
 
-/// Part of an engine's memory that all requests together may be expected to take at their end; beyond it,
-/// answers that grow drive others out, which are then computed anew.
-const MEMORY_SHARE: f64 = 1.2;
+/// Limit of the expected final memory use of all requests, as a fraction of an engine's memory. Beyond it, growing
+/// answers preempt other requests, which then have to be recomputed.
+const MEMORY_OVERCOMMIT: f64 = 1.2;
 
-/// Tokens by which two engines' loads have to differ to count as different: hosts that all see the same
-/// one as the emptiest would all send there. The usual size of a request.
-const LOAD_NOISE: u64 = 4_000;
+/// Range of the random tokens added to an engine's load, about one typical request: otherwise all hosts would send to
+/// the same least loaded engine at once.
+const LOAD_JITTER: u64 = 4_000;
 
-/// Tokens that a backoff which has just ended counts as at a decode engine: work comes back step by step.
+/// Load penalty, in tokens, of a decode engine whose backoff has just ended: its load ramps up gradually.
 const RETURN_TOKENS: f64 = 16_000.0;
 
-/// The same at a prefill engine, seconds of delay.
+/// The same penalty for a prefill engine, in seconds of delay.
 const RETURN_DELAY: f64 = 0.12;
 
 impl BackendBook {
-    /// The decode engines that have room for a request as far as is known, best first: where no suspect of this host runs, own
-    /// zone, those that this host works with, least taken. `memory` is what an engine's memory holds.
+    /// The decode engines expected to have memory for a request, best first. Engines that run no suspect request of
+    /// this host come first, then those of its own zone, then its preferred ones, then the least loaded. `memory` is
+    /// an engine's capacity in tokens.
     pub fn rank_decodes(
         &self,
         service: &str,
@@ -48,13 +49,13 @@
             .filter(|view| !view.has_refused(tokens, now))
             .filter(|view| self.fits(view, tokens, memory, now));
         book::sorted(views, |view| {
-            let noise = rand::random::<u64>() % LOAD_NOISE;
-            let is_other = view.info.zone != zone;
+            let jitter = rand::random::<u64>() % LOAD_JITTER;
+            let is_other_zone = view.info.zone != zone;
             (
                 view.runs_suspects(),
-                is_other,
+                is_other_zone,
                 !view.is_preferred,
-                self.known_tokens(view, now) + noise + self.return_tokens(view, now),
+                self.known_load(view, now) + jitter + self.return_tokens(view, now),
             )
         })
     }
@@ -63,7 +64,7 @@
         (self.availability.returning(&view.run, now) * RETURN_TOKENS) as u64
     }
 
-    /// Whether an engine has room for a request, as far as is known.
+    /// Whether an engine is expected to have memory for a request.
     pub(super) fn fits(
         &self,
         view: &BackendView,
@@ -71,21 +72,21 @@
         memory: Option<u64>,
         now: Duration,
     ) -> bool {
-        let taken = self.known_tokens(view, now);
-        let limit = memory.map(|memory| (memory as f64 * MEMORY_SHARE) as u64);
-        // An empty engine takes whatever fits into its memory at all.
+        let taken = self.known_load(view, now);
+        let limit = memory.map(|memory| (memory as f64 * MEMORY_OVERCOMMIT) as u64);
+        // An idle engine accepts any request that fits into its memory at all.
         taken == 0 || limit.is_none_or(|limit| taken + tokens <= limit)
     }
 
-    /// The decode engines of a service that are not passed over.
+    /// The decode engines of a service that may take requests now.
     pub fn decode_engines(&self, service: &str, now: Duration) -> Vec<BackendInfo> {
         self.engines(service, EngineRole::Decode, now)
             .map(|view| view.info.clone())
             .collect()
     }
 
-    /// When a permit is likely at a decode engine of a service, for a request of a rank, where all that are not passed over are
-    /// rate-limited and none has one left; nothing where another one may take the request.
+    /// The shortest wait for a permit at a decode engine, for a request of this priority. `None` if some engine can
+    /// take the request without waiting, or if none may take requests at all.
     pub fn decode_wait(&self, service: &str, rank: u8, now: Duration) -> Option<PermitWait> {
         let mut least = None;
         for view in self.engines(service, EngineRole::Decode, now) {
@@ -98,13 +99,12 @@
         least
     }
 
-    /// Predicted time of a prefill of this many tokens that begins at once, seconds.
+    /// Predicted duration in seconds of a prefill of this many tokens, without queueing.
     pub fn prefill_time(&self, tokens: u64) -> f64 {
         tokens as f64 / self.prefill_rate
     }
 
-    /// The prefill engine that would compute a prompt first, of those that were not tried, and the
-    /// predicted time until it would begin, seconds.
+    /// The untried prefill engine expected to start on a prompt first, and its predicted queueing delay in seconds.
     pub fn best_prefill(
         &self,
         service: &str,
@@ -115,11 +115,11 @@
         let engines = self.engines(service, EngineRole::Prefill, now);
         let untried = engines.filter(|view| !tried.contains(&view.info.id));
         let scored = untried.map(|view| {
-            let away = f64::from(u8::from(view.info.zone != zone)) * AWAY_DELAY;
-            let away = away + f64::from(u8::from(!view.is_preferred)) * OUTSIDE_DELAY;
-            let away = away + self.availability.returning(&view.run, now) * RETURN_DELAY;
+            let penalty = f64::from(u8::from(view.info.zone != zone)) * OTHER_ZONE_DELAY;
+            let penalty = penalty + f64::from(u8::from(!view.is_preferred)) * OUTSIDE_SUBSET_DELAY;
+            let penalty = penalty + self.availability.returning(&view.run, now) * RETURN_DELAY;
             let backlog = view.prefill_backlog(self.prefill_rate, now);
-            (view, backlog, backlog + away, rand::random::<u16>())
+            (view, backlog, backlog + penalty, rand::random::<u16>())
         });
         let best = scored.min_by(|a, b| a.2.total_cmp(&b.2).then(a.3.cmp(&b.3)))?;
         Some((best.0.info.clone(), best.1))
@@ -133,10 +133,10 @@
     ) -> impl Iterator<Item = &'a BackendView> {
         self.usable(service, now)
             .filter(move |view| view.info.role == Some(role))
-            .filter(move |view| !self.is_passed_over(view, now) && now >= view.declines_until)
+            .filter(move |view| !self.is_avoided(view, now) && now >= view.declines_until)
     }
 
-    /// A prefill of this many tokens took this long.
+    /// Records the duration of a prefill, which updates the throughput estimate and the engine's queueing delay.
     pub fn prefill_observed(&mut self, id: &str, tokens: u64, took: Duration, now: Duration) {
         let seen = tokens as f64 / took.as_secs_f64().max(0.001);
         self.prefill_rate = self.prefill_rate.max(seen);
--- a/src/relay/policy/loads.rs
+++ b/src/relay/policy/loads.rs
@@ -1,8 +1,7 @@
-//! What the requests of many hosts take at backend servers, which of these fail them, and how much each
-//! service is asked: a plain state machine.
+//! Load reports between hosts: memory use per backend server, servers that were ejected, and demand per service.
 //!
-//! Each host knows its own requests only. One host of a zone adds up what all report and tells each what
-//! the others take and saw.
+//! Each host only sees its own requests. One host of each zone sums the reports of all and replies to each with the
+//! totals of the others. This module is a state machine without I/O.
 
 use {
     crate::account::UseReport,
@@ -12,70 +11,70 @@
     xxhash_rust::xxh3,
 };
 
-/// Age from which a report no longer counts: some reports may be lost, and the host itself may be.
-const REPORT_LIFE: Duration = Duration::from_millis(1_500);
+/// Age at which a report expires: long enough to survive a few lost reports, short enough to forget a host that died.
+const REPORT_TTL: Duration = Duration::from_millis(1_500);
 
-/// Engines that one answer names at most besides those that the asker works with: those that fail and the fullest, which
-/// are to be left alone. With all engines of a large zone in each answer, the link of the host that adds up would be full.
-const TOLD_ENGINES: usize = 48;
+/// Most engines in a reply besides those that the reporter asked for: failing ones and the fullest, which it should
+/// avoid. Listing all engines of a large zone in every reply would saturate the link of the aggregating host.
+const EXTRA_ENGINES_MAX: usize = 48;
 
-/// A backend server's run in reports: a hash of its id. Two of some thousand runs share one once in some
-/// thousand times; both then look a little fuller than they are.
+/// Identifies a run of a backend server in reports: a hash of its id and start. Among a few thousand runs, collisions
+/// are about one in a thousand; the two runs then appear a little more loaded than they are.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct EngineKey(pub u32);
 
 impl EngineKey {
-    /// The key of a run by its id, where nobody knows when it began.
+    /// The key of a run whose start is unknown.
     pub fn of(id: &str) -> Self {
         Self::of_run(id, 0)
     }
 
-    /// The key of a run by its id and when it began.
+    /// The key of a run by its id and its start.
     pub fn of_run(id: &str, born: u64) -> Self {
         Self(xxh3::xxh3_64_with_seed(id.as_bytes(), born) as u32)
     }
 }
 
-/// What requests take at a backend server, and whether it answers.
+/// Load and health of a backend server in a report.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EngineLoad {
     /// The backend server's run.
     pub engine: EngineKey,
-    /// Tokens of its memory that the requests are expected to take at their end.
+    /// Expected final memory use of its requests, in tokens.
     pub memory_tokens: u64,
-    /// Hosts that pass it over since it does not answer them.
+    /// Number of hosts that have ejected it because it does not respond.
     pub passed_over: u32,
 }
 
-/// How much a service was asked within the window of the allowance of repeats.
+/// Demand for a service within the retry budget's window.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ServiceDemand {
     /// The service.
     pub service: FastStr,
     /// Requests for it.
     pub requests: u64,
-    /// Sends beyond the first of a request.
+    /// Attempts beyond the first of each request.
     pub repeats: u64,
 }
 
-/// What one host, or several together, tell of their requests.
+/// A load report of one host, or the sum of several.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct LoadReport {
-    /// By backend server.
+    /// Load per backend server.
     pub loads: Vec<EngineLoad>,
-    /// By service.
+    /// Demand per service.
     pub demands: Vec<ServiceDemand>,
-    /// Engines of which the reporter wants to be told whatever they are like: those that it works with.
+    /// Engines that a reply must include regardless of their load: the reporter's preferred ones.
     pub wanted: Vec<EngineKey>,
-    /// By client account; the board leaves them to the zone's ledger.
+    /// Usage per client account; summed by the zone's ledger, not here.
     pub accounts: UseReport,
-    /// In answers: the store fails to answer the host that adds up, or whom that one follows.
+    /// In replies: the store does not respond to the aggregating host, or to the one that it follows.
     pub is_store_lost: bool,
 }
 
-/// Who reports.
+/// The sender of a report.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LoadReporter {
     /// A host of the zone, for its own requests.
@@ -91,12 +90,13 @@
 }
 
 impl LoadBoard {
-    /// Takes a report in place of the reporter's last one.
+    /// Stores a report, replacing the reporter's previous one.
     pub fn take(&mut self, reporter: LoadReporter, report: LoadReport, now: Duration) {
         self.reports.insert(reporter, (report, now));
     }
 
-    /// What all but this host report, as far as it is not old; of the engines those that it wants, and the fullest.
+    /// Sum of the current reports of all reporters except this host, limited to the engines that it asked for and the
+    /// fullest others.
     pub fn others_of(&self, host: &FastStr, now: Duration) -> LoadReport {
         let own = self.reports.get(&LoadReporter::Host(host.clone()));
         let wanted = own.map_or(&[][..], |(report, _)| &report.wanted);
@@ -106,14 +106,14 @@
         })
     }
 
-    /// What the zone's own hosts report; of the engines the fullest.
+    /// Sum of the current reports of the zone's own hosts, limited to the fullest engines.
     pub fn of_zone(&self, now: Duration) -> LoadReport {
         self.total(now, &[], |reporter| {
             matches!(reporter, LoadReporter::Host(_))
         })
     }
 
-    /// Forgets reports that no longer count.
+    /// Removes expired reports.
     pub fn forget_old(&mut self, now: Duration) {
         self.reports.retain(|_, (_, at)| is_recent(*at, now));
     }
@@ -144,7 +144,7 @@
             }
         }
         LoadReport {
-            loads: told(loads.into_values().collect(), wanted),
+            loads: limit_engines(loads.into_values().collect(), wanted),
             demands: demands.into_values().collect(),
             wanted: Vec::new(),
             accounts: UseReport::default(),
@@ -153,17 +153,17 @@
     }
 }
 
-// The loads that are wanted, then the fullest of the rest.
-fn told(loads: Vec<EngineLoad>, wanted: &[EngineKey]) -> Vec<EngineLoad> {
-    let (mut told, mut rest): (Vec<EngineLoad>, Vec<EngineLoad>) = loads
+// The requested engines, then the fullest of the rest.
+fn limit_engines(loads: Vec<EngineLoad>, wanted: &[EngineKey]) -> Vec<EngineLoad> {
+    let (mut listed, mut rest): (Vec<EngineLoad>, Vec<EngineLoad>) = loads
         .into_iter()
         .partition(|load| wanted.contains(&load.engine));
     rest.sort_by_key(|load| Reverse((load.passed_over, load.memory_tokens)));
-    rest.truncate(TOLD_ENGINES);
-    told.extend(rest);
-    told
+    rest.truncate(EXTRA_ENGINES_MAX);
+    listed.extend(rest);
+    listed
 }
 
 fn is_recent(at: Duration, now: Duration) -> bool {
-    now.saturating_sub(at) < REPORT_LIFE
+    now.saturating_sub(at) < REPORT_TTL
 }
--- a/src/relay/policy/mod.rs
+++ b/src/relay/policy/mod.rs
@@ -1,5 +1,5 @@
-//! Decisions: plain state machines and functions, what happened and the time go in, a choice comes out.
-//! Nothing here knows a clock, a socket, a task or an HTTP type, so that each decision is tested by itself.
+//! Routing decisions as pure state machines and functions: observations and the current time are inputs, a choice is
+//! the output. Nothing in this module uses a clock, socket, task or HTTP type, so each decision can be unit tested.
 
 pub(crate) mod admission;
 pub(crate) mod availability;
--- a/src/relay/policy/room.rs
+++ b/src/relay/policy/room.rs
@@ -60,7 +60,7 @@
             room.listed += 1;
             let against = match () {
                 () if !book.in_rotation(view, now) => &mut room.backing_off,
-                () if book.is_passed_over(view, now) => &mut room.passed_over,
+                () if book.is_avoided(view, now) => &mut room.passed_over,
                 () if now < view.declines_until => &mut room.declining,
                 () if !book.fits(view, tokens, memory, now) => &mut room.full,
                 () if view.has_refused(tokens, now) => &mut room.refused,
--- a/src/relay/policy/view.rs
+++ b/src/relay/policy/view.rs
@@ -1,4 +1,4 @@
-//! What this host knows of one backend server.
+//! Health and load of one backend server as this host observes them.
 
 use {
     super::{availability::ServerRun, loads::EngineKey},
@@ -9,81 +9,86 @@
     },
 };
 
-/// Failures in a row after which a backend server is passed over.
+/// Consecutive failures after which a backend server is ejected.
 pub(super) const FAILURES_TO_EJECT: u32 = 2;
 
-/// How long a backend server is passed over at first; doubled each time it fails again.
+/// Duration of the first ejection; doubled each time the server fails again.
 pub(super) const EJECT_FIRST: Duration = Duration::from_millis(500);
 
-/// Requests in progress that another zone counts as: a way there and back costs more than a short queue.
-const AWAY_PENALTY: f64 = 2.0;
+/// Score penalty, in requests in flight, of a server in another zone: the round trip costs more than a short queue.
+const OTHER_ZONE_PENALTY: f64 = 2.0;
 
-/// Silence of a request in progress from which its server counts as doubtful; a plain call takes some
-/// tens of milliseconds.
-const DOUBT_AFTER: Duration = Duration::from_millis(150);
+/// Age of an unanswered request from which its server counts as slow; a plain request takes some tens of
+/// milliseconds.
+const SLOW_AFTER: Duration = Duration::from_millis(150);
 
-/// Requests in progress that doubt counts as.
-const DOUBT_PENALTY: f64 = 6.0;
+/// Score penalty, in requests in flight, of a slow server.
+const SLOW_PENALTY: f64 = 6.0;
 
-/// Requests in progress that a share of failed answers of 1 counts as.
+/// Score penalty, in requests in flight, of an error rate of 1.
 const ERROR_PENALTY: f64 = 12.0;
 
-/// Requests in progress that a request counts as which the server has just turned away.
-const TURNED_AWAY_PENALTY: f64 = 4.0;
+/// Score penalty, in requests in flight, of a request that the server has just rejected.
+const REJECTION_PENALTY: f64 = 4.0;
 
-/// Time in which the weight of requests that were turned away halves: queues empty in some hundred milliseconds.
-const TURNED_AWAY_HALF_LIFE: Duration = Duration::from_millis(500);
+/// Half-life of the weight of rejected requests: queues drain within a few hundred milliseconds.
+const REJECTION_HALF_LIFE: Duration = Duration::from_millis(500);
 
-/// How long an observed delay of a prefill engine tells of its present queue.
-const DELAY_MEMORY: Duration = Duration::from_millis(300);
+/// Decay time constant of an observed prefill queueing delay, which says little about the queue later on.
+const PREFILL_DELAY_DECAY: Duration = Duration::from_millis(300);
 
-/// How a backend server failed to answer.
+/// How a backend server failed to respond.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BackendFailure {
-    /// The connection failed, or broke off.
+    /// The connection failed or was reset.
     Broken,
-    /// Nothing came in time.
+    /// The response timed out.
     Silent,
 }
 
-/// What this host knows of one backend server.
+/// Health and load of one backend server as this host observes them.
 #[derive(Debug)]
 pub struct BackendView {
-    /// Who it is.
+    /// Identity, address and role of the server.
     pub info: BackendInfo,
-    // The same, told from all other runs.
+    // Identifies this run of the server among all runs.
     pub(super) run: ServerRun,
-    // The same in reports of other hosts.
+    // Identifies this run in load reports.
     pub(super) key: EngineKey,
-    // Whether it is an engine that this host works with first.
+    // Whether it is in this host's subset of engines.
     pub(super) is_preferred: bool,
-    // When each request in progress was sent, by its number.
+    // Send time of each request in flight, by its number.
     pub(super) calls: BTreeMap<u64, Duration>,
-    // Those of them under which servers ended before.
+    // Requests in flight that servers have crashed under before.
     pub(super) suspects: BTreeSet<u64>,
+    // Consecutive failures.
     pub(super) failures: u32,
-    pub(super) out_until: Duration,
-    // Since when it fails: all that was sent since then shows whether it answers again.
+    pub(super) ejected_until: Duration,
+    // When it reached `FAILURES_TO_EJECT`: a request sent since then acts as a probe.
     pub(super) failing_since: Duration,
-    pub(super) out_time: Duration,
-    pub(super) error_share: f64,
-    // Weight of the plain requests that it turned away, as of a time.
-    pub(super) turned_away: (f64, Duration),
+    pub(super) ejection_time: Duration,
+    // Moving average of the share of failed requests.
+    pub(super) error_rate: f64,
+    // Decaying weight of the plain requests that it rejected, and the time of that value.
+    pub(super) rejections: (f64, Duration),
+    // Memory that requests of this host use.
     pub(super) memory_tokens: u64,
-    // What the requests of other hosts take.
-    pub(super) others_tokens: u64,
-    // Other hosts that pass it over.
-    pub(super) others_out: u32,
+    // Memory that requests of other hosts use.
+    pub(super) peer_tokens: u64,
+    // How many other hosts have ejected it.
+    pub(super) peer_ejections: u32,
+    // Size of the last request refused for lack of memory, and until when that counts.
     pub(super) refused: Option<(Duration, u64)>,
+    // Prompt tokens of this host's prefills in flight.
     pub(super) prefill_tokens: u64,
-    // Until when it is taken to decline whatever comes.
+    // Until when it is expected to decline every request.
     pub(super) declines_until: Duration,
-    // How much longer than its own prompt the last prefill took, and when that was seen.
+    // Queueing delay of the last prefill (its duration without its own computation), and when it was observed.
     pub(super) prefill_delay: Option<(Duration, Duration)>,
 }
 
 impl BackendView {
-    /// One of which nothing is known yet.
+    /// A server that nothing was observed of yet.
     pub(super) fn new(info: BackendInfo) -> Self {
         Self {
             key: info.key(),
@@ -93,14 +98,14 @@
             calls: BTreeMap::new(),
             suspects: BTreeSet::new(),
             failures: 0,
-            out_until: Duration::ZERO,
+            ejected_until: Duration::ZERO,
             failing_since: Duration::ZERO,
-            out_time: EJECT_FIRST,
-            error_share: 0.0,
-            turned_away: (0.0, Duration::ZERO),
+            ejection_time: EJECT_FIRST,
+            error_rate: 0.0,
+            rejections: (0.0, Duration::ZERO),
             memory_tokens: 0,
-            others_tokens: 0,
-            others_out: 0,
+            peer_tokens: 0,
+            peer_ejections: 0,
             refused: None,
             prefill_tokens: 0,
             declines_until: Duration::ZERO,
@@ -108,79 +113,78 @@
         }
     }
 
-    /// What stands before a new prompt there, seconds, as far as this host can know: its own prompts, and
-    /// what the last answer showed of others'.
+    /// Estimated queueing delay of a new prompt, in seconds: this host's own prefills in flight, plus the decayed delay
+    /// that the last response showed other hosts' prompts to cause.
     pub(super) fn prefill_backlog(&self, rate: f64, now: Duration) -> f64 {
         let own = self.prefill_tokens as f64 / rate;
         let Some((delay, at)) = self.prefill_delay else {
             return own;
         };
-        let age = now.saturating_sub(at).as_secs_f64() / DELAY_MEMORY.as_secs_f64();
+        let age = now.saturating_sub(at).as_secs_f64() / PREFILL_DELAY_DECAY.as_secs_f64();
         own + delay.as_secs_f64() * (-age).exp()
     }
 
-    /// Whether it is passed over.
+    /// Whether this host has ejected the server.
     pub fn is_out(&self, now: Duration) -> bool {
-        now < self.out_until
+        now < self.ejected_until
     }
 
-    /// Whether a request that was sent after its time out is to show whether it answers again: until then
-    /// no other follows.
+    /// Whether a request sent after the ejection expired probes the server: no other is sent until it responds.
     pub fn is_on_trial(&self) -> bool {
         let mut sent = self.calls.values();
-        self.failures >= FAILURES_TO_EJECT && sent.any(|sent| *sent >= self.out_until)
+        self.failures >= FAILURES_TO_EJECT && sent.any(|sent| *sent >= self.ejected_until)
     }
 
-    /// Whether a request of this host, sent since it fails, shows whether it answers again.
-    pub(super) fn is_being_tried(&self) -> bool {
+    /// Whether a request in flight was sent since the server began to fail, and so probes whether it responds again.
+    pub(super) fn is_being_probed(&self) -> bool {
         let mut sent = self.calls.values();
         sent.any(|sent| *sent >= self.failing_since)
     }
 
-    /// Whether requests of this host run there under which servers ended before. Others are sent elsewhere if they
-    /// can be, so that fewer innocent ones are lost with it.
+    /// Whether a request of this host that servers have crashed under before runs there. Other requests go elsewhere
+    /// where possible, so that fewer of them are lost if the server crashes.
     pub(super) fn runs_suspects(&self) -> bool {
         !self.suspects.is_empty()
     }
 
-    /// Requests of this host in progress.
+    /// Number of this host's requests in flight.
     pub fn calls(&self) -> usize {
         self.calls.len()
     }
 
-    /// Tokens of memory that this host's requests take.
+    /// Memory that this host's requests use, in tokens.
     pub fn memory_tokens(&self) -> u64 {
         self.memory_tokens
     }
 
-    /// It turned a plain request away.
-    pub(super) fn note_turned_away(&mut self, now: Duration) {
-        self.turned_away = (self.turned_away_weight(now) + 1.0, now);
+    /// Records a rejected plain request.
+    pub(super) fn note_rejection(&mut self, now: Duration) {
+        self.rejections = (self.rejection_weight(now) + 1.0, now);
     }
 
-    fn turned_away_weight(&self, now: Duration) -> f64 {
-        let (weight, at) = self.turned_away;
+    fn rejection_weight(&self, now: Duration) -> f64 {
+        let (weight, at) = self.rejections;
         if weight == 0.0 {
             return 0.0;
         }
         let age = now.saturating_sub(at).as_secs_f64();
-        weight * (-age / TURNED_AWAY_HALF_LIFE.as_secs_f64()).exp2()
+        weight * (-age / REJECTION_HALF_LIFE.as_secs_f64()).exp2()
     }
 
-    fn is_doubtful(&self, now: Duration) -> bool {
+    fn is_slow(&self, now: Duration) -> bool {
         let oldest = self.calls.values().min();
-        oldest.is_some_and(|sent| now.saturating_sub(*sent) >= DOUBT_AFTER)
+        oldest.is_some_and(|sent| now.saturating_sub(*sent) >= SLOW_AFTER)
     }
 
-    /// What speaks against sending a plain request there, in requests in progress.
+    /// Cost of sending a plain request there, in equivalent requests in flight.
     pub(super) fn plain_score(&self, zone: &str, now: Duration) -> f64 {
-        let away = f64::from(u8::from(self.info.zone != zone)) * AWAY_PENALTY;
-        let doubt = f64::from(u8::from(self.is_doubtful(now))) * DOUBT_PENALTY;
-        let turned_away = self.turned_away_weight(now) * TURNED_AWAY_PENALTY;
-        self.calls.len() as f64 + away + doubt + turned_away + self.error_share * ERROR_PENALTY
+        let distance = f64::from(u8::from(self.info.zone != zone)) * OTHER_ZONE_PENALTY;
+        let slowness = f64::from(u8::from(self.is_slow(now))) * SLOW_PENALTY;
+        let rejections = self.rejection_weight(now) * REJECTION_PENALTY;
+        self.calls.len() as f64 + distance + slowness + rejections + self.error_rate * ERROR_PENALTY
     }
 
-    /// Whether it had no room lately for as many tokens.
+    /// Whether it recently had no memory for a request of this size or smaller.
     pub(super) fn has_refused(&self, tokens: u64, now: Duration) -> bool {
         self.refused
             .is_some_and(|(until, refused)| now < until && tokens >= refused)
