--- a/src/relay/policy/budget.rs
+++ b/src/relay/policy/budget.rs
@@ -1,42 +1,44 @@
-//! This host's share of the sends beyond the first that a service is allowed from all hosts.
+//! Retry budget: this host's share of the retries that a service allows to all hosts together.
 
 use std::{collections::VecDeque, time::Duration};
 
-/// Part of a host's share of the allowance that it spends on purpose: hosts count apart, and windows slide.
-const SPENT_PART: f64 = 0.65;
+/// Fraction of a host's share that it uses for planned retries. The margin covers that hosts count independently and
+/// that their windows slide.
+const PLANNED_FRACTION: f64 = 0.65;
 
-/// Part of its share up to which sends are made that turn out to be repeats only when they fail.
-const RISKED_PART: f64 = 0.9;
+/// Fraction of a host's share available to attempts that count as retries only if they fail.
+const SPECULATIVE_FRACTION: f64 = 0.9;
 
-/// Part of the allowance that all hosts together spend where one needs more than its share: with what the
-/// others then still take of theirs it stays below the whole (tests/relay_decisions.rs).
-const POOLED_PART: f64 = 0.6;
+/// Fraction of the whole budget that all hosts together may use when one needs more than its share. With what the
+/// other hosts may still use of theirs, the total stays below the budget (tests/relay_budget.rs).
+const POOLED_FRACTION: f64 = 0.6;
 
-/// How old what is known of the other hosts may be: reports are taken that long.
-const POOL_TURN: Duration = Duration::from_millis(1_500);
+/// Maximum age of what is known of the other hosts, equal to the lifetime of load reports.
+const POOL_PERIOD: Duration = Duration::from_millis(1_500);
 
-/// Part of what is left that is shared out in each such time: all may take theirs before they hear of it.
+/// Fraction of the unused budget given out in each such period: all hosts may use theirs before they hear of each
+/// other.
 const POOL_STEP: f64 = 0.7;
 
-/// Requests that each host counts as having beside its own when the allowance is shared out by demand: an idle
-/// host can begin to repeat, and few requests do not move the shares about faster than hosts hear of it.
-const USUAL_REQUESTS: u64 = 10;
+/// Requests added to each host's count when the budget is divided by demand. An idle host can thus start to retry, and
+/// a few requests do not shift the shares faster than hosts learn of it.
+const BASELINE_REQUESTS: u64 = 10;
 
-/// What a host takes of all that while its own window may hold repeats of an earlier run.
-const RESTARTED_PART: f64 = 0.55;
+/// Factor applied for the first window after a start, when retries of the host's previous run may still count.
+const RESTART_FACTOR: f64 = 0.55;
 
-/// What all hosts together may send beyond the first of each request.
+/// Retry budget of a service for all hosts together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryAllowance {
-    /// Share of the window's requests.
+    /// Retries allowed per request in the window.
     pub share: f64,
-    /// Added to that share, for all hosts together.
+    /// Retries allowed in addition, for all hosts together.
     pub extra: f64,
     /// Length of the window.
     pub window: Duration,
 }
 
-/// Counts a service's requests and repeats at this host within a sliding window.
+/// Counts a service's requests and retries at this host in a sliding window.
 #[derive(Debug, Default)]
 pub struct WindowBudget {
     requests: VecDeque<Duration>,
@@ -44,13 +46,13 @@
 }
 
 impl WindowBudget {
-    /// A request for the service came.
+    /// Records a request for the service.
     pub fn earn(&mut self, window: Duration, now: Duration) {
         self.forget(window, now);
         self.requests.push_back(now);
     }
 
-    /// Requests and repeats that are remembered.
+    /// Number of entries kept in the window.
     pub fn remembered(&self) -> usize {
         self.requests.len() + self.repeats.len()
     }
@@ -64,12 +66,12 @@
         }
     }
 
-    /// A repeat was sent, allowed or not.
+    /// Records a retry, allowed or not.
     pub fn count(&mut self, now: Duration) {
         self.repeats.push_back(now);
     }
 
-    /// Requests and repeats of this host within the window.
+    /// This host's requests and retries in the window.
     pub fn counts(&mut self, window: Duration, now: Duration) -> DemandCounts {
         self.forget(window, now);
         DemandCounts {
@@ -78,30 +80,30 @@
         }
     }
 
-    /// Whether one repeat more may be sent by this host.
+    /// Whether this host may send one more retry.
     pub fn allows(
         &mut self,
         allowance: RetryAllowance,
         fleet: &FleetDemand,
         now: Duration,
     ) -> bool {
-        self.is_within(SPENT_PART, allowance, fleet, now)
+        self.is_within(PLANNED_FRACTION, allowance, fleet, now)
     }
 
-    /// Whether a send may be made that counts as a repeat if it fails, or a repeat that saves more than
-    /// itself.
+    /// Whether this host may make an attempt that counts as a retry only if it fails, or a retry that saves more work
+    /// than it costs.
     pub fn may_risk(
         &mut self,
         allowance: RetryAllowance,
         fleet: &FleetDemand,
         now: Duration,
     ) -> bool {
-        self.is_within(RISKED_PART, allowance, fleet, now)
+        self.is_within(SPECULATIVE_FRACTION, allowance, fleet, now)
     }
 
     fn is_within(
         &mut self,
-        part: f64,
+        fraction: f64,
         allowance: RetryAllowance,
         fleet: &FleetDemand,
         now: Duration,
@@ -111,12 +113,12 @@
         let earned = allowance.share * own.requests as f64 + allowance.extra * share;
         let next = (own.repeats + 1) as f64;
         if now < allowance.window {
-            return next <= RESTARTED_PART * part * earned;
+            return next <= RESTART_FACTOR * fraction * earned;
         }
-        next <= part * earned || self.may_pool(own, allowance, fleet, now)
+        next <= fraction * earned || self.may_pool(own, allowance, fleet, now)
     }
 
-    // What other hosts do not need is shared out anew in each turn.
+    // Whether the retry fits into this host's share of the budget that other hosts leave unused in this period.
     fn may_pool(
         &self,
         own: DemandCounts,
@@ -129,14 +131,14 @@
         };
         let requests = (own.requests + others.requests) as f64;
         let spent = (own.repeats + others.repeats) as f64;
-        let left = POOLED_PART * (allowance.share * requests + allowance.extra) - spent;
-        let since = now.saturating_sub(POOL_TURN);
-        let in_turn = self.repeats.iter().rev().take_while(|at| **at >= since);
-        (in_turn.count() + 1) as f64 <= POOL_STEP * left * fleet.share(own.requests)
+        let left = POOLED_FRACTION * (allowance.share * requests + allowance.extra) - spent;
+        let since = now.saturating_sub(POOL_PERIOD);
+        let in_period = self.repeats.iter().rev().take_while(|at| **at >= since);
+        (in_period.count() + 1) as f64 <= POOL_STEP * left * fleet.share(own.requests)
     }
 }
 
-/// Requests for a service, and sends beyond the first of each, within the window.
+/// Requests for a service and retries of them in the window.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct DemandCounts {
     /// Requests.
@@ -145,23 +147,23 @@
     pub repeats: u64,
 }
 
-/// What a host knows of the hosts among which the allowance is shared out.
+/// What a host knows of all hosts that share the budget.
 #[derive(Debug, Clone, Copy)]
 pub struct FleetDemand {
-    /// How many hosts there are, this one included.
+    /// Number of hosts, including this one.
     pub hosts: usize,
-    /// What all others count together, if that was told lately.
+    /// Sum of the other hosts' counts, if reported recently.
     pub others: Option<DemandCounts>,
 }
 
 impl FleetDemand {
-    /// The share of a host that has so many requests.
+    /// The share of the budget of a host with this many requests.
     pub fn share(&self, own_requests: u64) -> f64 {
         let hosts = self.hosts.max(1) as u64;
-        let own = own_requests + USUAL_REQUESTS;
+        let own = own_requests + BASELINE_REQUESTS;
         match self.others {
             Some(others) => {
-                own as f64 / (own + others.requests + USUAL_REQUESTS * (hosts - 1)) as f64
+                own as f64 / (own + others.requests + BASELINE_REQUESTS * (hosts - 1)) as f64
             }
             None => 1.0 / hosts as f64,
         }
--- a/src/relay/policy/changes.rs
+++ b/src/relay/policy/changes.rs
@@ -1,19 +1,19 @@
-//! How a list of backend servers differs from the one before, for the log.
+//! Differences between two lists of backend servers, for the log.
 
 use {crate::relay::backend::BackendInfo, faststr::FastStr};
 
-/// How a list of backend servers differs from the one before.
+/// Differences of a list of backend servers from the previous one.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct BackendChanges {
-    /// How many are new.
+    /// Number of new servers.
     pub added: usize,
-    /// Those that take no new work from now on.
+    /// Servers that began to drain.
     pub leaving: Vec<FastStr>,
-    /// Those that were started anew under the same id.
+    /// Previous runs of the servers that restarted under the same id.
     pub started: Vec<BackendInfo>,
-    /// Those with another role.
+    /// Servers whose role changed.
     pub other_role: Vec<FastStr>,
-    /// Those that are no longer there.
+    /// Servers that are no longer listed.
     pub gone: Vec<FastStr>,
 }
 
--- a/src/relay/policy/kept.rs
+++ b/src/relay/policy/kept.rs
@@ -1,11 +1,10 @@
-//! Which decode engines still keep a prompt that they read, so that a stream which goes on is sent where it
-//! need not be read again.
+//! Index of the prompts in the KV caches of decode engines, so that a resumed stream is sent to an engine that need
+//! not prefill its prompt again.
 //!
-//! A plain state machine: what engines tell of their caches and the time go in, an engine comes out. It answers
-//! the load of many streams that break at once, when all hosts are killed or connections are reset: each
-//! prompt is otherwise computed a second time, at the expense of new requests. On the days of docs/worth.md in
-//! which all hosts are killed once, tokens computed for nothing fell from 134,000 to 99,000 a day (means of 40
-//! days).
+//! A state machine without I/O: cache reports of engines and the current time go in, an engine comes out. It matters
+//! when many streams break at once because all hosts are killed or connections are reset. Without it every prompt is
+//! computed a second time at the expense of new requests. In the simulated days of docs/worth.md in which all hosts
+//! are killed once, wasted prompt tokens fell from 134,000 to 99,000 a day (means of 40 days).
 
 use {
     crate::relay::{
@@ -16,62 +15,63 @@
     std::{collections::HashMap, time::Duration},
 };
 
-/// How long what an engine told is taken to stay so: streams that break together come back within a second
-/// or two, and without it each of them would ask all engines; prompts are driven out more slowly.
-const NEWS_LIFE: Duration = Duration::from_millis(250);
+/// Lifetime of an engine's cache report. Streams that break together return within a second or two, and without it
+/// each of them would query every engine; prompts are evicted more slowly than that.
+const REPORT_TTL: Duration = Duration::from_millis(250);
 
-/// Parts of prompts remembered of one engine at most; its memory holds some tens of prompts.
+/// Most prompt parts tracked per engine, whose memory holds a few tens of prompts.
 const PARTS_MAX: usize = 1_024;
 
-/// What one engine told of its cache.
+/// Reported cache content of one engine.
 #[derive(Debug)]
 struct EngineCache {
-    // The run of the engine's list of changes, and the change to ask for next.
+    // Identifies the engine's change log; a restarted engine begins another one.
     epoch: u64,
+    // Position in that log to continue from.
     next: u64,
-    told_at: Duration,
-    // Tokens kept of each part.
+    reported_at: Duration,
+    // Cached tokens of each part.
     parts: HashMap<FastStr, u64>,
 }
 
-/// An engine that keeps part of a prompt.
+/// An engine that has part of a prompt in its cache.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeptAt {
     /// The engine.
     pub engine: BackendInfo,
-    /// Tokens that it keeps of the part; what was answered so far follows on the prompt's and counts too.
+    /// Cached tokens of the part, including the answer generated so far, which follows the prompt.
     pub tokens: u64,
 }
 
-/// What decode engines keep of the prompts that they read.
+/// Cached prompts of the decode engines.
 #[derive(Debug, Default)]
 pub struct KeptPrompts {
     engines: HashMap<FastStr, EngineCache>,
 }
 
 impl KeptPrompts {
-    /// What an engine is to be asked; nothing where its last answer is recent enough.
+    /// The query to send to an engine; `None` if its last report is recent enough.
     pub fn question(&self, engine: &str, now: Duration) -> Option<CacheQuestion> {
         let Some(cache) = self.engines.get(engine) else {
             return Some(CacheQuestion::Whole);
         };
-        let is_recent = now.saturating_sub(cache.told_at) < NEWS_LIFE;
+        let is_recent = now.saturating_sub(cache.reported_at) < REPORT_TTL;
         (!is_recent).then_some(CacheQuestion::Since(cache.next))
     }
 
-    /// An engine told what it keeps.
+    /// Applies an engine's cache report.
     pub fn take(&mut self, engine: &FastStr, news: CacheNews, now: Duration) {
         let known = self.engines.remove(engine);
         let parts = match known {
             Some(known) if known.epoch == news.epoch && !news.is_whole => known.parts,
-            // Changes of a list that is not known tell nothing.
+            // Changes are useless without the full list that they apply to.
             _ if !news.is_whole => return,
             _ => HashMap::new(),
         };
         let mut cache = EngineCache {
             epoch: news.epoch,
             next: news.next,
-            told_at: now,
+            reported_at: now,
             parts,
         };
         for change in news.changes {
@@ -80,14 +80,14 @@
         self.engines.insert(engine.clone(), cache);
     }
 
-    /// Tokens of a part that an engine keeps, as far as it told.
+    /// Tokens of a part that an engine reported as cached.
     pub fn kept_tokens(&self, engine: &str, part: &str) -> u64 {
         let cache = self.engines.get(engine);
         let tokens = cache.and_then(|cache| cache.parts.get(part));
         tokens.copied().unwrap_or_default()
     }
 
-    /// Of these engines the one that keeps most of a part, the first of several.
+    /// The engine that caches most tokens of a part, the first one among equals.
     pub fn best_of(&self, engines: &[BackendInfo], part: &str) -> Option<KeptAt> {
         let found = engines.iter().rev().map(|engine| KeptAt {
             tokens: self.kept_tokens(&engine.id, part),
@@ -97,12 +97,12 @@
         best.filter(|best| best.tokens > 0)
     }
 
-    /// Forgets what an engine told; it is asked for all again.
+    /// Drops an engine's report, so that its full list is requested again.
     pub fn forget(&mut self, engine: &str) {
         self.engines.remove(engine);
     }
 
-    /// Forgets all engines but those that are listed.
+    /// Drops the reports of engines that are no longer listed.
     pub fn retain(&mut self, is_listed: impl Fn(&str) -> bool) {
         self.engines.retain(|engine, _| is_listed(engine));
     }
--- a/src/relay/policy/line.rs
+++ b/src/relay/policy/line.rs
@@ -1,21 +1,21 @@
-//! The line in which requests wait for engines: the most urgent is served first.
+//! Priority queue of the requests that wait for engine memory.
 
 use std::{collections::BTreeSet, time::Duration};
 
-/// Where a request stands; smaller is served first.
+/// Sort key of a queued request; smaller keys are served first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LineKey {
-    /// It can no longer be answered in time: those that can go first.
+    /// Whether it can no longer meet its latency target; requests that can are served first.
     pub late: bool,
-    /// 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// When it should be served, by its arrival, its target and its size.
+    /// Due time computed from its arrival, latency target and size.
     pub rank: Duration,
-    /// Number of the request in line, unique.
+    /// Unique number of the request in the queue.
     pub ticket: u64,
 }
 
-/// The places of this host's requests that wait for engines.
+/// This host's requests that wait for engine memory, in order.
 #[derive(Debug, Default)]
 pub struct WaitLine {
     waiting: BTreeSet<LineKey>,
@@ -23,13 +23,13 @@
 }
 
 impl WaitLine {
-    /// A number for a request that will wait.
+    /// A unique number for a request to be queued.
     pub fn ticket(&mut self) -> u64 {
         self.next_ticket += 1;
         self.next_ticket
     }
 
-    /// A request waits, or waits at another place than before.
+    /// Inserts a request, or moves it if it was queued under another key.
     pub fn place(&mut self, before: Option<LineKey>, key: LineKey) {
         if let Some(before) = before {
             self.waiting.remove(&before);
@@ -37,22 +37,22 @@
         self.waiting.insert(key);
     }
 
-    /// A request no longer waits.
+    /// Removes a request.
     pub fn leave(&mut self, key: &LineKey) {
         self.waiting.remove(key);
     }
 
-    /// How many wait before this one.
+    /// Number of requests ahead of this one.
     pub fn ahead(&self, key: &LineKey) -> usize {
         self.waiting.range(..key).count()
     }
 
-    /// How many wait.
+    /// Number of queued requests.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether nobody waits.
+    /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
--- a/src/relay/policy/pauses.rs
+++ b/src/relay/policy/pauses.rs
@@ -1,36 +1,36 @@
-//! How soon a store that did not answer is asked again.
+//! Exponential backoff between calls to a store that does not respond.
 
 use std::time::Duration;
 
-/// Least part of a pause that is waited: not all hosts ask at the same moment.
-const SPREAD_FROM: f64 = 0.5;
+/// Smallest factor of the jitter, which keeps hosts from calling the store at the same moment.
+const JITTER_MIN: f64 = 0.5;
 
-/// Pauses after failed calls to the store, doubled from the first to the longest.
+/// Backoff after failed calls to the store; doubles from the first pause up to the longest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StorePauses {
-    /// After the first failure.
+    /// Pause after the first failure.
     pub first: Duration,
-    /// The longest.
+    /// Upper bound.
     pub longest: Duration,
 }
 
-/// Those of a host that reads for its zone: changes are due a few seconds after the store is back.
+/// Backoff of a reader: changes have to take effect within a few seconds of the store's recovery.
 pub const READER_PAUSES: StorePauses = StorePauses {
     first: Duration::from_millis(250),
     longest: Duration::from_millis(1_000),
 };
 
-/// Those of another one, which tries the store for a while: each call to a store that turns all away has its price.
+/// Backoff of any other host that tries the store for a while: calls to a store that rejects everybody have a cost.
 pub const FOLLOWER_PAUSES: StorePauses = StorePauses {
     first: Duration::from_millis(700),
     longest: Duration::from_millis(2_500),
 };
 
 impl StorePauses {
-    /// The pause after one more failure than `failures`; `draw` from 0 to 1 spreads the hosts.
+    /// The pause after `failures` earlier failures and one more; `draw`, from 0 to 1, is the jitter.
     pub fn after(&self, failures: u32, draw: f64) -> Duration {
         let doubled = self.first.saturating_mul(2_u32.saturating_pow(failures));
-        let share = SPREAD_FROM + (1.0 - SPREAD_FROM) * draw;
+        let share = JITTER_MIN + (1.0 - JITTER_MIN) * draw;
         doubled.min(self.longest).mul_f64(share)
     }
 }
--- a/src/relay/policy/room.rs
+++ b/src/relay/policy/room.rs
@@ -1,4 +1,4 @@
-//! What a host believes of the room at decode engines, for the log: why a request found none.
+//! Summary of why decode engines could not take a request, for the refusal's message.
 
 use {
     super::{book::BackendBook, view::BackendView},
@@ -6,20 +6,20 @@
     std::{fmt, time::Duration},
 };
 
-/// The decode engines of a service, by what speaks against each.
+/// Counts of a service's decode engines by the reason that excludes them.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct DecodeRoom {
-    /// All that are listed and do not leave.
+    /// All listed engines that are not draining.
     pub listed: usize,
     /// Asked this host to back off.
     pub backing_off: usize,
-    /// Passed over since they fail, or on trial.
-    pub passed_over: usize,
-    /// Declined a request lately.
+    /// Ejected because they fail, or being probed after an ejection.
+    pub ejected: usize,
+    /// Declined a request recently.
     pub declining: usize,
-    /// Full by what requests of all hosts are known to take.
+    /// Full by the known load of all hosts.
     pub full: usize,
-    /// Said a moment ago that they have no room.
+    /// Just refused a request for lack of memory.
     pub refused: usize,
 }
 
@@ -28,21 +28,21 @@
         let Self {
             listed,
             backing_off,
-            passed_over,
+            ejected,
             declining,
             full,
             refused,
         } = self;
         write!(
             f,
-            "of {listed} decode engines {backing_off} asked for a backoff, {passed_over} are passed over, {declining} declined, {full} are \
-             believed full, {refused} had no room"
+            "of {listed} decode engines {backing_off} are backing off, {ejected} are ejected, {declining} declined, \
+             {full} are estimated to be full, {refused} refused for lack of memory"
         )
     }
 }
 
 impl DecodeRoom {
-    /// The room for a request of this many tokens; `memory` is what an engine's memory holds.
+    /// Counts the engines for a request of this many tokens; `memory` is an engine's capacity in tokens.
     pub fn of(
         book: &BackendBook,
         service: &str,
@@ -58,15 +58,15 @@
         let mut room = Self::default();
         for view in book.views().filter(is_decode) {
             room.listed += 1;
-            let against = match () {
+            let count = match () {
                 () if !book.in_rotation(view, now) => &mut room.backing_off,
-                () if book.is_avoided(view, now) => &mut room.passed_over,
+                () if book.is_avoided(view, now) => &mut room.ejected,
                 () if now < view.declines_until => &mut room.declining,
                 () if !book.fits(view, tokens, memory, now) => &mut room.full,
                 () if view.has_refused(tokens, now) => &mut room.refused,
                 () => continue,
             };
-            *against += 1;
+            *count += 1;
         }
         room
     }
--- a/src/relay/policy/route.rs
+++ b/src/relay/policy/route.rs
@@ -1,4 +1,4 @@
-//! Finding the route of a request: by host, then by the longest path prefix.
+//! Route lookup: by host, then by the longest path prefix.
 
 use {
     crate::{
@@ -10,11 +10,11 @@
     std::{collections::HashMap, rc::Rc},
 };
 
-/// A configuration laid out for look-ups.
+/// A configuration indexed for lookups.
 #[derive(Debug)]
 pub struct RouteTable {
     config: RelayConfig,
-    // Indexes of a host's routes, the longest prefix first.
+    // Indexes of a host's routes, longest prefix first.
     by_host: HashMap<FastStr, Vec<usize>>,
     routes: Vec<Rc<RelayRoute>>,
     services: HashMap<FastStr, Rc<RelayService>>,
@@ -22,7 +22,7 @@
 }
 
 impl RouteTable {
-    /// Lays out a configuration.
+    /// Indexes a configuration.
     pub fn new(config: RelayConfig) -> Self {
         let routes: Vec<_> = config.routes.iter().cloned().map(Rc::new).collect();
         let mut by_host: HashMap<FastStr, Vec<usize>> = HashMap::new();
@@ -52,14 +52,14 @@
         &self.config
     }
 
-    /// The client accounts; none where requests need no key.
+    /// The client accounts; `None` if requests need no API key.
     pub fn accounts(&self) -> Option<&AccountDirectory> {
         self.accounts.as_ref()
     }
 
     /// The route of a request, by its `Host` header and path.
     pub fn find(&self, host: &str, path: &str) -> Option<Rc<RelayRoute>> {
-        let name = bare_host(host);
+        let name = normalize_host(host);
         let indexes = self.by_host.get(name.as_str())?;
         let index = indexes
             .iter()
@@ -72,7 +72,7 @@
         self.services.get(name).cloned()
     }
 
-    /// The service that takes the next request of a route, drawn by weight.
+    /// Picks the service for the next request of a route at random, by weight.
     pub fn draw_service(&self, route: &RelayRoute) -> Option<Rc<RelayService>> {
         let total: u32 = route.shares.iter().map(|share| share.weight).sum();
         if total == 0 {
@@ -89,8 +89,8 @@
     }
 }
 
-// Hosts are compared without their port and in lower case.
-fn bare_host(host: &str) -> String {
+// Strips the port of a `Host` header and converts it to lower case.
+fn normalize_host(host: &str) -> String {
     let name = match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
         _ => host,
--- a/src/relay/policy/source.rs
+++ b/src/relay/policy/source.rs
@@ -1,14 +1,15 @@
-//! Where a host gets its news from: a plain state machine.
+//! Choice of the source from which a host gets store updates: the store itself or another host. A state machine
+//! without I/O.
 //!
-//! In each zone all hosts sort the listed hosts into the same order. The first that answers is the zone's head, whom
-//! the others follow; a large zone has a second one that stands by and takes part of the followers. The heads of two
-//! zones read the store, the other heads follow one of them. Calls to the store therefore grow neither with hosts nor
-//! with zones.
+//! All hosts of a zone sort the listed hosts into the same order. The first one that responds is the zone's head
+//! (leader), which the others follow; a large zone also has a standby that serves part of the followers. The heads of
+//! two zones read the store and the other heads follow one of them, so calls to the store grow neither with the
+//! number of hosts nor with the number of zones.
 //!
-//! Two ages matter, and they must not be mixed up. How long ago the store last answered anybody says how old the
-//! news may be; it is nobody's fault while the store is away. How long ago this host last heard another one says
-//! whether it is cut off; only then does it look elsewhere. While the store is silent one host at a time of each
-//! zone tries it besides the readers, in case it turns only some hosts away.
+//! Two ages must be kept apart. The time since the store last responded to any host bounds the age of the data; while
+//! the store is down it grows everywhere and blames no host. The time since this host last heard from another one
+//! tells whether it is cut off; only then does it look for another source. While the store does not respond, one host
+//! at a time of each zone tries it in addition to the readers, in case it rejects only some hosts.
 
 use {
     crate::{peer, relay::link::HostEntry},
@@ -16,140 +17,140 @@
     std::{cmp::Reverse, collections::BTreeMap, time::Duration},
 };
 
-/// Hosts of a zone from which on a second one is followed too, so that the loss of the first costs the zone
-/// nothing and its link carries half.
+/// Number of hosts from which a zone has a standby that is followed too: losing the head then does not affect the
+/// whole zone, and each of the two carries half of the traffic.
 const STANDBY_FROM: usize = 9;
 
-/// What is left, of the time in which a change has to be in force, to a host that reads the store itself since
-/// it heard nobody: it may have to find out first that a connection hangs.
+/// Part of the time allowed for a change to take effect that is reserved for a host that hears from nobody and reads
+/// the store itself: it may first have to detect that a connection hangs.
 const OWN_READING_MARGIN: Duration = Duration::from_millis(600);
 
-/// Bounds of the age at which news are old. Readers hear from the store at half of it at the latest, and followers
-/// from them each 0.3 s; an older list than the upper bound may have lapsed entries.
-const OLD_NEWS_LEAST: Duration = Duration::from_millis(1_000);
-const OLD_NEWS_MOST: Duration = Duration::from_millis(1_800);
+/// Bounds of the age at which data is stale. Readers hear from the store after at most half of it and followers from
+/// readers every 0.3 s; a list older than the upper bound may contain expired entries.
+const STALE_AGE_MIN: Duration = Duration::from_millis(1_000);
+const STALE_AGE_MAX: Duration = Duration::from_millis(1_800);
 
-/// Age at which news are old, where changes have to be in force within `change_time`.
+/// Age at which data is stale, given that changes have to take effect within `change_time`.
 pub fn old_news(change_time: Duration) -> Duration {
     let age = change_time.saturating_sub(OWN_READING_MARGIN);
-    age.clamp(OLD_NEWS_LEAST, OLD_NEWS_MOST)
+    age.clamp(STALE_AGE_MIN, STALE_AGE_MAX)
 }
 
-/// Least time for a question: with less left until it has heard nobody for too long, a host reads the store at once
-/// rather than blame whom it asks.
-const LEAST_QUESTION: Duration = Duration::from_millis(150);
+/// Minimum time to query another host. With less left before it counts as cut off, a host reads the store at once
+/// rather than time out on a host that may be fine.
+const MIN_QUERY_TIME: Duration = Duration::from_millis(150);
 
-/// How long a host that heard nobody reads the store itself.
+/// How long a host that hears from no other host reads the store itself.
 const OWN_READING_TIME: Duration = Duration::from_secs(2);
 
-/// How long a host that gave no news is not asked: most restart within seconds.
-const PASS_OVER_FIRST: Duration = Duration::from_secs(2);
+/// How long a host that did not respond is first skipped: most restart within seconds.
+const SKIP_MIN: Duration = Duration::from_secs(2);
 
-/// How long a host that answers and knows nothing is not asked by one that knows something: it is told within that time where
-/// anybody can tell it. Its followers are not to wait with it.
-const PASS_OVER_UNKNOWING: Duration = Duration::from_secs(1);
+/// How long a host that responds but has no data yet is skipped by hosts that have some: it normally gets its data
+/// within that time, and its followers should not wait for it.
+const SKIP_WITHOUT_DATA: Duration = Duration::from_secs(1);
 
-/// Longest time for which one is not asked again; doubled up to here while it stays silent.
-const PASS_OVER_LONGEST: Duration = Duration::from_secs(32);
+/// Upper bound of that time, which doubles each time the host does not respond.
+const SKIP_MAX: Duration = Duration::from_secs(32);
 
-/// Heads that read the store: the loss of one, or of its zone, costs the fleet nothing, and each one more would be two
-/// calls a second.
+/// Number of heads that read the store: the fleet survives the loss of one or of its zone, and each further reader
+/// would add two calls a second.
 const READERS: usize = 2;
 
-/// How much longer than until news are old the store has to be silent before hosts try it in turn where no reader has
-/// said that it is lost: three hosts that pass news on make them 0.9 s older.
+/// Extra store silence, beyond the stale age, before hosts try the store in turn when no reader has reported it
+/// unreachable: three hosts that relay data add 0.9 s to its age.
 const SILENCE_MARGIN: Duration = Duration::from_millis(800);
 
-/// How long one host of a zone tries a silent store before it is another one's turn: long enough for a call of each
-/// kind, so that a zone adds two or three calls a second whatever its size.
+/// How long one host of a zone tries an unresponsive store before the next one's turn: long enough for one call of
+/// each kind, so that a zone adds two or three calls a second whatever its size.
 const TRIAL_TURN: Duration = Duration::from_secs(1);
 
-/// How long a host that the store answered in its turn goes on reading, and has each further turn: troubles in which a
-/// store turns some hosts away last seconds.
+/// How long a host whose trial succeeded keeps reading the store, and gets every further turn: faults in which the
+/// store rejects some hosts last for seconds.
 const SERVED_TIME: Duration = Duration::from_secs(10);
 
-/// Hosts of its own zone that a starting host is told it may follow: the head, the standby, and one in case one of them
-/// is gone. Of other zones it is told as many heads.
+/// Number of hosts of its own zone that a starting host is given to follow: the head, the standby, and one more in
+/// case one of them is gone. It is given as many heads of other zones.
 const GUIDES: usize = 3;
 
-/// Sorts the hosts of a zone into the order in which they are to read the store for it: the strongest first,
-/// since they answer all others, and by draw among equals.
+/// Sorts the hosts of a zone by their precedence as its head: the strongest first, since the head serves all others,
+/// and by hash among equals.
 pub fn sort_readers(entries: &mut [HostEntry], zone: &str) {
     entries.sort_by_key(|entry| Reverse((entry.strength, peer::draw(&entry.name, zone))));
 }
 
-/// Where to get news from.
+/// Where to get store updates from.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum NewsSource {
     /// The store.
     Store,
     /// Another host.
     Host(HostEntry),
-    /// The hosts that the settings name, of which any may be gone: no other is known yet.
+    /// The seed hosts of the settings, any of which may be gone, while no other host is known.
     Seeds,
 }
 
-/// What a host goes by when it chooses.
+/// Parameters of a host's choice.
 #[derive(Debug, Clone)]
 pub struct SourceRules {
     /// The host's own name.
     pub own: FastStr,
     /// Its availability zone.
     pub zone: FastStr,
-    /// Age at which news are old.
+    /// Age at which data is stale.
     pub old_news: Duration,
-    /// How long after its start it waits for other hosts to answer; short for a host that others find by their
-    /// settings: somebody has to read first.
+    /// How long it waits for other hosts after its start before it reads the store. Short for a seed host, since some
+    /// host has to read first.
     pub start_patience: Duration,
-    /// The same once one has answered that it does not know enough yet: it will soon.
+    /// The same once a seed host has responded without data: it will have data soon.
     pub told_patience: Duration,
 }
 
-/// Why a host reads the store out of its place in the order.
+/// Why a host that is not a reader reads the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum OwnReading {
-    /// It heard nobody.
-    Unheard,
-    /// It is its turn to try a silent store.
+    /// It hears from no other host.
+    CutOff,
+    /// It is its turn to try an unresponsive store.
     Trial,
-    /// The store answers it while it is silent to the readers.
+    /// The store responds to it but not to the readers.
     Served,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct PassedOver {
+struct Skip {
     until: Duration,
     time: Duration,
 }
 
-/// One host's choice of whom to follow.
+/// One host's choice of its update source.
 #[derive(Debug)]
 pub struct SourceChoice {
     rules: SourceRules,
-    // The hosts of each zone, in the order in which they are to be its head.
+    // The hosts of each zone, by precedence as its head.
     zones: BTreeMap<FastStr, Vec<HostEntry>>,
-    passed_over: BTreeMap<FastStr, PassedOver>,
-    // Hosts of the own zone that took no report, and until when none is sent to them: who follows the standby never
-    // asks the head for news, and would not find out that it is gone.
+    skipped: BTreeMap<FastStr, Skip>,
+    // Hosts of the own zone that did not accept a report, and until when none is sent to them. A follower of the
+    // standby never queries the head and would not notice otherwise that it is gone.
     unreported: BTreeMap<FastStr, Duration>,
-    // When another host last answered, or this one last read by itself.
+    // When another host last responded, or this one last read the store itself.
     heard: Duration,
-    // Why this host reads the store out of its place, and until when.
+    // Why this host reads the store without being a reader, and until when.
     reading: Option<(OwnReading, Duration)>,
-    // When the store last answered this host in its turn, while it was silent to the readers.
+    // When a trial of this host last succeeded while the store did not respond to the readers.
     served: Option<Duration>,
-    // How long after its start it waits for other hosts.
+    // How long after its start it waits for other hosts before it reads the store.
     patience: Duration,
 }
 
 impl SourceChoice {
-    /// A host that knows no others.
+    /// The choice of a host that knows no others yet.
     pub fn new(rules: SourceRules) -> Self {
         Self {
             patience: rules.start_patience,
             rules,
             zones: BTreeMap::new(),
-            passed_over: BTreeMap::new(),
+            skipped: BTreeMap::new(),
             unreported: BTreeMap::new(),
             heard: Duration::ZERO,
             reading: None,
@@ -157,87 +158,86 @@
         }
     }
 
-    /// Takes the hosts that are listed.
+    /// Replaces the listed hosts.
     pub fn set_hosts<'a>(&mut self, hosts: impl Iterator<Item = &'a HostEntry>) {
         self.zones = by_zone(hosts.cloned());
         let zones = &self.zones;
-        self.passed_over.retain(|name, _| {
+        self.skipped.retain(|name, _| {
             let mut entries = zones.values().flatten();
             entries.any(|entry| entry.name == *name)
         });
     }
 
-    /// A host that the settings name answered, whatever it knows.
+    /// Records that a seed host responded, with or without data.
     pub fn note_seed(&mut self) {
         self.patience = self.patience.max(self.rules.told_patience);
     }
 
-    /// How much longer a starting host waits for others.
+    /// How much longer a starting host waits for other hosts.
     pub fn patience_left(&self, now: Duration) -> Duration {
         self.patience.saturating_sub(now)
     }
 
-    /// A host gave no answer.
+    /// Records that a host did not respond.
     pub fn note_silent(&mut self, name: &FastStr, now: Duration) {
-        let before = self.passed_over.get(name);
-        let doubled = before.map_or(PASS_OVER_FIRST, |before| before.time * 2);
-        let time = doubled.clamp(PASS_OVER_FIRST, PASS_OVER_LONGEST);
+        let before = self.skipped.get(name);
+        let doubled = before.map_or(SKIP_MIN, |before| before.time * 2);
+        let time = doubled.clamp(SKIP_MIN, SKIP_MAX);
         let until = now + time;
-        self.passed_over
-            .insert(name.clone(), PassedOver { until, time });
+        self.skipped.insert(name.clone(), Skip { until, time });
     }
 
-    /// A host answered, however old its news.
+    /// Records that a host responded, whatever the age of its data.
     pub fn note_heard(&mut self, name: &str, now: Duration) {
-        self.passed_over.remove(name);
+        self.skipped.remove(name);
         self.heard = self.heard.max(now);
     }
 
-    /// A host answered that knows nothing yet, while this one does.
+    /// Records that a host responded without data while this one has some.
     pub fn note_unknowing(&mut self, name: &FastStr, now: Duration) {
-        let until = now + PASS_OVER_UNKNOWING;
-        let passed = PassedOver {
+        let until = now + SKIP_WITHOUT_DATA;
+        let skip = Skip {
             until,
             time: Duration::ZERO,
         };
-        self.passed_over.insert(name.clone(), passed);
+        self.skipped.insert(name.clone(), skip);
     }
 
-    /// Whether a view that old is no news any more: others may know more.
+    /// Whether data of this age is stale, so that other hosts may have newer data.
     pub fn is_old(&self, age: Option<Duration>) -> bool {
         age.is_some_and(|age| age >= self.rules.old_news)
     }
 
-    /// Whether this host is one of those that read the store for all.
+    /// Whether this host is one of the readers, which read the store for all.
     pub fn is_reader(&self, now: Duration) -> bool {
         let mut readers = self.heads(now).into_iter().take(READERS);
         readers.any(|entry| entry.name == self.rules.own)
     }
 
-    /// A host of the own zone took no report.
+    /// Records that a host of the own zone did not accept a report.
     pub fn note_unreported(&mut self, name: &FastStr, now: Duration) {
         self.unreported.retain(|_, until| now < *until);
-        self.unreported.insert(name.clone(), now + PASS_OVER_FIRST);
+        self.unreported.insert(name.clone(), now + SKIP_MIN);
     }
 
-    /// The head of this host's zone, to which it reports; none where that is this one or none is known.
+    /// The head of this host's zone, to which it reports; `None` if it is the head itself or knows none.
     pub fn head(&self, now: Duration) -> Option<HostEntry> {
-        let is_left_out = |entry: &&HostEntry| {
+        let is_unreported = |entry: &&HostEntry| {
             let until = self.unreported.get(&entry.name);
             until.is_some_and(|until| now < *until)
         };
-        let head = self.own_zone(now).find(|entry| !is_left_out(entry));
+        let head = self.own_zone(now).find(|entry| !is_unreported(entry));
         head.filter(|entry| entry.name != self.rules.own).cloned()
     }
 
-    /// The heads of the other zones, in the order in which they are to read the store.
+    /// The heads of the other zones, by precedence as readers.
     pub fn other_heads(&self, now: Duration) -> Vec<HostEntry> {
         let heads = self.heads(now).into_iter();
         let others = heads.filter(|entry| entry.zone != self.rules.zone);
         others.cloned().collect()
     }
 
-    /// The head of the zone hears from the store: who was served in its place need not go on.
+    /// Records that the zone's head hears from the store again, so that this host need not read it any longer.
     pub fn note_store_back(&mut self, now: Duration) {
         if matches!(self.reading, Some((OwnReading::Served, _))) {
             self.heard = now;
@@ -245,23 +245,24 @@
         }
     }
 
-    /// Whether this host reads the store since it answers it while it is silent to the readers.
+    /// Whether this host reads the store because it responds to this host but not to the readers.
     pub fn is_served(&self, now: Duration) -> bool {
         matches!(self.reading, Some((OwnReading::Served, until)) if now < until)
     }
 
-    /// When the store last answered this host in its turn, while it was silent to the readers.
+    /// When a trial of this host last succeeded while the store did not respond to the readers.
     pub fn served(&self) -> Option<Duration> {
         self.served
     }
 
-    /// How long this host may yet hear nobody until it reads the store itself.
+    /// Time left without hearing from another host before this one reads the store itself.
     pub fn time_left(&self, now: Duration) -> Duration {
         (self.heard + self.rules.old_news).saturating_sub(now)
     }
 
-    /// Whom to ask next. `age` is how long ago the store answered anybody of whom this host heard; none while it
-    /// does not know everything yet. `is_lost` says that it fails to answer whom this host follows.
+    /// Chooses the source to query next. `age` is the time since the store is known to have responded to any host;
+    /// `None` while this host's data is incomplete. `is_lost` means that the store does not respond to the host that
+    /// this one follows.
     pub fn choose(&mut self, age: Option<Duration>, is_lost: bool, now: Duration) -> NewsSource {
         if self.is_reader(now) {
             self.heard = now;
@@ -272,7 +273,7 @@
                 self.heard = now;
                 return self.choose_at_start(now);
             }
-            Some(age) => self.look_whether_to_read(age, is_lost, now),
+            Some(age) => self.update_own_reading(age, is_lost, now),
         }
         match self.reading {
             Some(_) => NewsSource::Store,
@@ -282,8 +283,8 @@
         }
     }
 
-    // Who knows nothing yet asks others, and the store when that takes too long. A head reads at once: its whole zone
-    // waits for it.
+    // A host without data queries others, and the store once that takes too long. A head reads the store at once,
+    // since its whole zone waits for it.
     fn choose_at_start(&self, now: Duration) -> NewsSource {
         let is_late = now >= self.patience;
         let is_head = self.is_head(now);
@@ -294,14 +295,14 @@
             .map_or(NewsSource::Seeds, NewsSource::Host)
     }
 
-    fn look_whether_to_read(&mut self, age: Duration, is_lost: bool, now: Duration) {
+    fn update_own_reading(&mut self, age: Duration, is_lost: bool, now: Duration) {
         let margin = match is_lost {
             true => Duration::ZERO,
             false => SILENCE_MARGIN,
         };
         let is_silent = age >= self.rules.old_news + margin;
         self.reading = match self.reading {
-            // It goes on: a change is then known at once, not at its next turn, which is two seconds later.
+            // It keeps reading: a change is then known at once rather than at its next turn, two seconds later.
             Some((OwnReading::Trial, _)) if !is_silent => {
                 self.served = Some(now);
                 self.heard = now;
@@ -310,12 +311,12 @@
             Some((OwnReading::Served, _)) if is_silent => None,
             Some((why, until)) if now < until => Some((why, until)),
             Some(_) => {
-                // What it read until now was as good as an answer.
+                // Reading the store until now counts as hearing from another host.
                 self.heard = now;
                 None
             }
-            None if self.time_left(now) <= LEAST_QUESTION => {
-                Some((OwnReading::Unheard, now + OWN_READING_TIME))
+            None if self.time_left(now) <= MIN_QUERY_TIME => {
+                Some((OwnReading::CutOff, now + OWN_READING_TIME))
             }
             None if is_silent && self.is_turn(age, now) => {
                 Some((OwnReading::Trial, now + TRIAL_TURN))
@@ -324,22 +325,23 @@
         };
     }
 
-    // Whether it is this host's turn to try a store that has been silent for so long: by draw among the hosts that
-    // follow, anew in each turn, so that a store which turns many away is found by one that it serves.
+    // Whether it is this host's turn to try a store that has not responded for this long. The host is picked by hash
+    // among the followers, differently in each turn, so that a store that rejects many hosts is soon tried by one
+    // that it serves.
     fn is_turn(&self, age: Duration, now: Duration) -> bool {
         let is_served = self.served.is_some_and(|at| now < at + SERVED_TIME);
         let turn = (age.as_millis() / TRIAL_TURN.as_millis()).to_string();
-        // The head reads, or follows one that does.
+        // The head is a reader itself or follows one.
         let others = self.own_zone(now).skip(1);
         let drawn = others.max_by_key(|entry| peer::draw(&entry.name, &turn));
         is_served || drawn.is_some_and(|entry| entry.name == self.rules.own)
     }
 
-    // Whom this host follows; none where there is nobody.
+    // The host that this one follows; `None` if there is no other.
     fn followed(&self, now: Duration) -> Option<HostEntry> {
         if self.is_head(now) {
             let readers = self.heads(now).into_iter().take(READERS);
-            return self.drawn(readers);
+            return self.pick_by_hash(readers);
         }
         let hosts = self.zones.get(&self.rules.zone)?.len();
         let wanted = 1 + usize::from(hosts >= STANDBY_FROM);
@@ -347,12 +349,12 @@
         let is_standby = followed.iter().any(|entry| entry.name == self.rules.own);
         match is_standby {
             true => self.head(now),
-            false => self.drawn(followed.into_iter()),
+            false => self.pick_by_hash(followed.into_iter()),
         }
     }
 
-    // Followers spread; each host's own draw keeps it at the same one.
-    fn drawn<'a>(&self, entries: impl Iterator<Item = &'a HostEntry>) -> Option<HostEntry> {
+    // Rendezvous hashing spreads the followers and keeps each of them at the same host.
+    fn pick_by_hash<'a>(&self, entries: impl Iterator<Item = &'a HostEntry>) -> Option<HostEntry> {
         let drawn = entries.max_by_key(|entry| peer::draw(&self.rules.own, &entry.name));
         drawn.cloned()
     }
@@ -362,29 +364,29 @@
         head.is_some_and(|entry| entry.name == self.rules.own)
     }
 
-    // The hosts of the own zone that are not passed over, in their order.
+    // The hosts of the own zone that are not skipped, by precedence.
     fn own_zone(&self, now: Duration) -> impl Iterator<Item = &HostEntry> {
         let entries = self.zones.get(&self.rules.zone).into_iter().flatten();
-        entries.filter(move |entry| self.is_heard(entry, now))
+        entries.filter(move |entry| self.is_available(entry, now))
     }
 
-    // The head of each zone, in the order in which they are to read the store.
+    // The head of each zone, by precedence as readers.
     fn heads(&self, now: Duration) -> Vec<&HostEntry> {
         let zones = self.zones.values();
         let heads =
-            zones.filter_map(|entries| entries.iter().find(|entry| self.is_heard(entry, now)));
+            zones.filter_map(|entries| entries.iter().find(|entry| self.is_available(entry, now)));
         let mut heads: Vec<&HostEntry> = heads.collect();
         heads.sort_by_key(|entry| head_rank(entry));
         heads
     }
 
-    fn is_heard(&self, entry: &HostEntry, now: Duration) -> bool {
-        let passed = self.passed_over.get(&entry.name);
-        passed.is_none_or(|passed| now >= passed.until)
+    fn is_available(&self, entry: &HostEntry, now: Duration) -> bool {
+        let skip = self.skipped.get(&entry.name);
+        skip.is_none_or(|skip| now >= skip.until)
     }
 }
 
-// Zones in an order that does not depend on which of their hosts is the head.
+// Among heads of equal strength the order depends on the zone, not on which of its hosts is the head.
 fn head_rank(entry: &HostEntry) -> Reverse<(u32, u64)> {
     Reverse((entry.strength, peer::draw(&entry.zone, "readers")))
 }
@@ -400,7 +402,7 @@
     zones
 }
 
-/// Whom a host of a zone that knows no others may follow, and the heads of the zones that come first.
+/// Hosts that a starting host of a zone may follow, and the first heads of other zones.
 pub fn guides_of(hosts: impl Iterator<Item = HostEntry>, zone: &str) -> Vec<HostEntry> {
     let mut zones = by_zone(hosts);
     let mut guides = zones.remove(zone).unwrap_or_default();
--- a/src/relay/policy/split.rs
+++ b/src/relay/policy/split.rs
@@ -1,6 +1,6 @@
-//! How many engines compute prompts and how many decode, and which of them change their role for that.
+//! Split of the engines into prefill and decode roles, and the role changes that lead to it.
 //!
-//! Plain functions: the listed engines go in, the changes come out.
+//! Pure functions: the listed engines go in, the changes come out.
 
 use {
     crate::{engine::EngineRole, relay::backend::BackendInfo},
@@ -8,13 +8,13 @@
     std::collections::BTreeMap,
 };
 
-/// Part of a service's engines that compute prompts, and what is added for bursts per square root of their
-/// number, before any traffic is known. Prompts queue where they are sent, while memory can be looked for elsewhere, so
-/// prefill engines are to be the less busy.
+/// Fraction of a service's engines with the prefill role, and the spare for bursts per square root of their number.
+/// They are fixed before any traffic is known. Prompts queue at the engine that they are sent to, whereas decode
+/// memory can be sought at other engines, so prefill engines should be the less busy ones.
 const PREFILL_SHARE: f64 = 0.26;
 const PREFILL_SPARE: f64 = 0.1;
 
-/// An engine that is to change its role.
+/// A planned role change of an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RoleChange {
     /// The engine.
@@ -23,7 +23,7 @@
     pub role: EngineRole,
 }
 
-/// The changes that bring a service's engines to their split, spread evenly over the zones.
+/// The role changes that bring a service's engines to the wanted split, spread evenly over the zones.
 pub fn plan_roles(engines: &[BackendInfo]) -> Vec<RoleChange> {
     let mut zones: BTreeMap<&FastStr, Vec<&BackendInfo>> = BTreeMap::new();
     for engine in engines
@@ -40,14 +40,14 @@
         .collect()
 }
 
-/// How many engines of each zone are to compute prompts, by the sizes of the zones.
+/// The wanted number of prefill engines of each zone, given the number of engines per zone.
 pub fn wanted_prefills(sizes: &[usize]) -> Vec<usize> {
     let all: usize = sizes.iter().sum();
     let total = wanted_total(all);
     let exact = |size: usize| (total * size) as f64 / all.max(1) as f64;
     let mut wanted: Vec<usize> = sizes.iter().map(|size| exact(*size) as usize).collect();
     let mut order: Vec<usize> = (0..sizes.len()).collect();
-    // What is left goes to the zones with the largest remainders.
+    // Largest remainder method: the rest goes to the zones with the largest fractions.
     order.sort_by(|a, b| {
         let rest = |index: usize| exact(sizes[index]).fract();
         rest(*b).total_cmp(&rest(*a))
@@ -81,15 +81,14 @@
         let changed = prefills.into_iter().take(surplus);
         return changed.map(change(EngineRole::Decode)).collect();
     }
-    // One engine alone computes and decodes by itself.
+    // The last decode engine of a zone keeps its role: one engine alone runs both stages.
     let missing = (wanted - prefills.len()).min(decodes.len().saturating_sub(1));
     let changed = decodes.into_iter().take(missing);
     changed.map(change(EngineRole::Prefill)).collect()
 }
 
-/// The changes that are worth their time while requests are served: those of the split as a whole. Changes that
-/// only move the split from one zone to another would take two engines away for seconds and leave as many in
-/// each role.
+/// The role changes that are worthwhile while requests are served: only those that change the overall split. Changes
+/// that cancel out between zones would take two engines out of service for seconds and leave as many in each role.
 pub fn plan_in_service(engines: &[BackendInfo]) -> Vec<RoleChange> {
     let (to_prefill, to_decode): (Vec<RoleChange>, Vec<RoleChange>) = plan_roles(engines)
         .into_iter()
--- a/src/relay/policy/subset.rs
+++ b/src/relay/policy/subset.rs
@@ -1,10 +1,10 @@
-//! Which engines of its zone a host works with first: a few that it is back at soon, so that its connections to them
-//! are used again and what it sees of them is new.
+//! Deterministic subsetting: each host prefers a few engines of its zone, so that it reuses its connections to them
+//! and its observations of them are recent.
 //!
-//! Answers fleets of many hosts, each with little traffic: one with a stream a second before 41 engines is back at the
-//! same one after 40 s, and servers close idle connections after ten. With the subset 0.83 of the prompts and 0.55 of the
-//! decodes find one open (a quiet day of 295 hosts before 256 engines). A plain function of the lists, so that all hosts
-//! agree without talking; where there are few hosts the subset is all engines.
+//! For fleets of many hosts with little traffic each: a host with one stream a second and 41 engines returns to the
+//! same engine only after 40 s, while servers close idle connections after ten. With the subset, 0.83 of the prompts
+//! and 0.55 of the decodes find an open connection (a quiet day of 295 hosts and 256 engines). The subset is a pure
+//! function of the lists, so all hosts agree without coordination; with few hosts it contains all engines.
 
 use {
     crate::peer,
@@ -15,24 +15,24 @@
     },
 };
 
-/// Hosts that work with an engine on the mean: their unequal shares of the callers even out, and the loss of one leaves it
-/// in use.
+/// Average number of hosts that prefer an engine: enough to average out their unequal traffic, and to keep the engine
+/// in use if one of them is lost.
 const HOSTS_PER_ENGINE: usize = 6;
 
-/// Engines that a host works with at the least: one may be full, another failing.
-const ENGINES_LEAST: usize = 3;
+/// Minimum size of a subset: one engine may be full and another failing.
+const ENGINES_MIN: usize = 3;
 
-/// Most hosts at an engine, and least, against the mean: an engine with fewer is chosen before the others.
-const COVER_MOST: f64 = 1.25;
-const COVER_LEAST: f64 = 0.4;
+/// Maximum and minimum number of hosts per engine, relative to the mean; engines below the minimum are chosen first.
+const COVER_MAX: f64 = 1.25;
+const COVER_MIN: f64 = 0.4;
 
-/// How many engines each of so many hosts works with.
+/// Number of engines in each host's subset.
 pub fn subset_size(hosts: usize, engines: usize) -> usize {
     let wanted = (HOSTS_PER_ENGINE * engines).div_ceil(hosts.max(1));
-    wanted.max(ENGINES_LEAST).min(engines)
+    wanted.max(ENGINES_MIN).min(engines)
 }
 
-/// The engines that a host works with first; all where they are few, or the host is not listed yet.
+/// The subset of one host; all engines if they are few or the host is not listed yet.
 pub fn subset_of(own: &FastStr, hosts: &[FastStr], engines: &[FastStr]) -> BTreeSet<FastStr> {
     if subset_size(hosts.len(), engines.len()) == engines.len() {
         return engines.iter().cloned().collect();
@@ -43,22 +43,21 @@
         .unwrap_or_else(|| engines.iter().cloned().collect())
 }
 
-/// The engines that each host works with first: the ones drawn most to it (rendezvous hashing), as long as they have
-/// neither their full number of hosts nor too few. Hosts choose in an order of their own, so that a host or engine which
-/// comes or goes moves few others.
+/// The subsets of all hosts, by rendezvous hashing with a maximum and a minimum number of hosts per engine. Hosts
+/// choose in a hashed order, so that adding or removing a host or an engine changes few other subsets.
 pub fn all_subsets(hosts: &[FastStr], engines: &[FastStr]) -> BTreeMap<FastStr, BTreeSet<FastStr>> {
     let size = subset_size(hosts.len(), engines.len());
     let mean = (hosts.len() * size) as f64 / engines.len().max(1) as f64;
-    let most = (mean * COVER_MOST).ceil() as usize;
+    let max = (mean * COVER_MAX).ceil() as usize;
     let mut counts: BTreeMap<&FastStr, usize> = BTreeMap::new();
     let mut order: Vec<&FastStr> = hosts.iter().collect();
     order.sort_by_cached_key(|host| peer::draw(host, "subset"));
     let mut subsets = BTreeMap::new();
     for (index, host) in order.into_iter().enumerate() {
-        let least = (mean * COVER_LEAST * index as f64 / hosts.len() as f64) as usize;
+        let min = (mean * COVER_MIN * index as f64 / hosts.len() as f64) as usize;
         let chosen = choose(host, engines, size, |engine| {
             let count = counts.get(engine).copied().unwrap_or_default();
-            (count < most).then_some(count < least)
+            (count < max).then_some(count < min)
         });
         for engine in &chosen {
             *counts.entry(engine).or_default() += 1;
@@ -68,7 +67,8 @@
     subsets
 }
 
-// `needs_hosts` says whether an engine comes before the others; none where it has its full number of hosts.
+// `needs_hosts` tells whether an engine is below its minimum and so chosen first; `None` if it has its maximum of
+// hosts.
 fn choose<'a>(
     host: &str,
     engines: &'a [FastStr],
--- a/src/relay/policy/waited.rs
+++ b/src/relay/policy/waited.rs
@@ -1,55 +1,53 @@
-//! How long callers have been waiting when their requests arrive: those that were refused come back, at any host,
-//! and say less time than at first.
+//! Estimate of how long callers have already waited when their requests arrive. Refused callers retry, at any host,
+//! with a shorter timeout than at first.
 //!
-//! A plain state machine: the time that each caller says goes in. It answers bursts beyond what engines hold,
-//! in which a third of the waiting requests have come back: they can only be late, and memory that they take
-//! makes others late that could still be in time. With it 0.007 more of a day's worth is served before prices
-//! (docs/worth.md, round 22).
+//! A state machine without I/O whose input is each caller's timeout. In bursts beyond the engines' capacity a third
+//! of the queued requests are such retries. They will miss their latency target in any case, and the memory that they
+//! use makes others late that could still meet theirs. The estimate raises the worth of a day, before prices, by
+//! 0.007 (docs/worth.md, round 22).
 
 use {
     faststr::FastStr,
     std::{collections::HashMap, time::Duration},
 };
 
-/// Weight of the newest caller in the share of those that say less than the longest time.
+/// Weight of the newest caller in the moving average of the share with less than the longest timeout.
 const SHORT_WEIGHT: f64 = 0.02;
 
-/// Share of callers that say less from which on nothing is made of it: callers of this route then wait for
-/// different times by themselves.
-const SHORT_SHARE_MOST: f64 = 0.5;
+/// Share of shorter timeouts from which they are ignored: callers of the route then use different timeouts anyway.
+const SHORT_SHARE_MAX: f64 = 0.5;
 
-/// Less than this is taken for the way here: connections that were opened again, clocks.
-const LEAST_WAITED: Duration = Duration::from_millis(100);
+/// Smaller differences are attributed to the network and to clocks, such as the time to reopen a connection.
+const MIN_WAITED: Duration = Duration::from_millis(100);
 
-/// What callers of one route said.
+/// Timeouts of the callers of one route.
 #[derive(Debug, Default)]
 struct RouteWaits {
     longest: Duration,
     short_share: f64,
 }
 
-/// How long callers say that they will wait, by route.
+/// Timeouts of callers, by route.
 #[derive(Debug, Default)]
 pub struct CallerWaits {
     routes: HashMap<FastStr, RouteWaits>,
 }
 
 impl CallerWaits {
-    /// A caller of a route will wait for this time; gives how long it has waited before, as far as that can be
-    /// told.
+    /// Records the timeout of a caller of a route and returns the estimated time that it has already waited.
     pub fn waited(&mut self, route: &FastStr, time_left: Duration) -> Duration {
         let waits = self.routes.entry(route.clone()).or_default();
         waits.longest = waits.longest.max(time_left);
         let waited = waits.longest - time_left;
-        let is_short = waited >= LEAST_WAITED;
+        let is_short = waited >= MIN_WAITED;
         waits.short_share += SHORT_WEIGHT * (f64::from(u8::from(is_short)) - waits.short_share);
-        match is_short && waits.short_share < SHORT_SHARE_MOST {
+        match is_short && waits.short_share < SHORT_SHARE_MAX {
             true => waited,
             false => Duration::ZERO,
         }
     }
 
-    /// Forgets all routes: another configuration may give them other callers.
+    /// Clears all routes, since a new configuration may bring them other callers.
     pub fn clear(&mut self) {
         self.routes.clear();
     }
--- a/tests/relay_decisions.rs
+++ b/tests/relay_decisions.rs
@@ -390,7 +390,7 @@
     let expected = relay::DecodeRoom {
         listed: 6,
         backing_off: 1,
-        passed_over: 1,
+        ejected: 1,
         declining: 1,
         full: 1,
         refused: 1,
