--- a/tests/backends/mod.rs
+++ b/tests/backends/mod.rs
@@ -1,11 +1,11 @@
-//! Backend servers for tests of decisions.
+//! Backend servers for tests of the routing decisions.
 
 use {
     bayplank::{engine::EngineRole, relay::BackendInfo},
     faststr::FastStr,
 };
 
-/// One of service `one` in a zone; an engine where it has a role.
+/// A backend server of service `one` in a zone; an engine if it has a role.
 pub fn backend(id: &str, zone: &'static str, role: Option<EngineRole>) -> BackendInfo {
     BackendInfo {
         born: 0,
--- a/tests/fleet_sim/crashes.rs
+++ b/tests/fleet_sim/crashes.rs
@@ -1,4 +1,4 @@
-//! How hosts of the fleet tell each other which requests end servers.
+//! Exchange between simulated hosts of the requests that crash servers.
 
 use {
     super::{PATIENCE, STEP, SimFleet, SimTrouble},
@@ -10,25 +10,26 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Pause before what was not taken is told again, and between looks for another host to tell; as the product has them.
-const AGAIN: u64 = 200;
+/// Pause before a failed report is sent again, as in the relay.
+const RESEND_PAUSE: u64 = 200;
+/// Pause between checks for something to report or a host to report to, as in the relay.
 const LOOK: u64 = 1_000;
 
-/// How long a host of another zone that did not answer is passed over.
-const PASS_OVER: u64 = 2_000;
+/// How long a host of another zone that did not respond is skipped.
+const SKIP_TIME: u64 = 2_000;
 
-/// Bytes of a mark in messages, and of each end in it.
+/// Message size of a mark, and of each server crash in it.
 const MARK_BYTES: u64 = 40;
 const END_BYTES: u64 = 16;
 
 pub struct SimCrashes {
     pub book: CrashBook,
-    // Up to where this host was told of each other's book.
-    places: BTreeMap<usize, CachePosition>,
-    // Up to which revision of its own book it has told the head of its zone, or another zone.
-    told: BTreeMap<(FastStr, bool), u64>,
-    // Hosts of zones that did not answer, and until when none of it is sent to them.
-    passed_over: BTreeMap<usize, u64>,
+    // Position up to which this host received each other host's book.
+    positions: BTreeMap<usize, CachePosition>,
+    // Revision of its own book up to which it has reported to the head of its zone, or to another zone.
+    reported: BTreeMap<(FastStr, bool), u64>,
+    // Hosts of other zones that did not respond, and until when nothing is sent to them.
+    skipped: BTreeMap<usize, u64>,
     next_look: u64,
     has_learned: bool,
     pub sent_bytes: u64,
@@ -38,9 +39,9 @@
     pub fn new(id: u64) -> Self {
         Self {
             book: CrashBook::new(id),
-            places: BTreeMap::new(),
-            told: BTreeMap::new(),
-            passed_over: BTreeMap::new(),
+            positions: BTreeMap::new(),
+            reported: BTreeMap::new(),
+            skipped: BTreeMap::new(),
             next_look: 0,
             has_learned: false,
             sent_bytes: 0,
@@ -60,7 +61,7 @@
         Duration::from_millis(self.now)
     }
 
-    /// A server's run ends under a request of a host.
+    /// Records that a run of a server crashed while it served a request of a host.
     pub fn end_under(&mut self, index: usize, digest: u128, run: u32) {
         let now = self.crash_now();
         let crashes = &mut self.hosts[index].crashes;
@@ -70,7 +71,7 @@
         crashes.next_look = self.now;
     }
 
-    /// Whether a host holds a request for one that ends its servers.
+    /// Whether a host considers a request fatal, that is, one that crashes its servers.
     pub fn holds_fatal(&self, index: usize, digest: u128) -> bool {
         let book = &self.hosts[index].crashes.book;
         let judgement = book.judge(RequestDigest(digest), self.crash_now());
@@ -80,7 +81,8 @@
         )
     }
 
-    /// Runs until all hosts that are up and that `counts` names hold a request for fatal; gives how long that took.
+    /// Runs until all hosts that are up and in a zone that `counts` accepts consider a request fatal, and returns how
+    /// long that took.
     pub fn time_to_judge(
         &mut self,
         trouble: &SimTrouble,
@@ -90,23 +92,23 @@
     ) -> u64 {
         let start = self.now;
         loop {
-            let lacking = (0..self.hosts.len()).filter(|index| {
+            let unaware = (0..self.hosts.len()).filter(|index| {
                 let host = &self.hosts[*index];
                 host.is_up && counts(&host.entry.zone) && !self.holds_fatal(*index, digest)
             });
-            let lacking = lacking.count();
-            if lacking == 0 {
+            let unaware = unaware.count();
+            if unaware == 0 {
                 return self.now - start;
             }
             assert!(
                 self.now - start < bound,
-                "{lacking} hosts do not know within {bound} ms"
+                "{unaware} hosts do not know of the fatal request within {bound} ms"
             );
             self.run(trouble, STEP);
         }
     }
 
-    /// A host that knows the others asks three of them, one of its own zone, before it is ready.
+    /// Once it knows the other hosts, a starting host queries three of them, one of its own zone, before it is ready.
     pub(super) fn learn_crashes(&mut self, index: usize, trouble: &SimTrouble) {
         if self.hosts[index].crashes.has_learned || !self.hosts[index].knows_hosts {
             return;
@@ -127,7 +129,7 @@
     }
 
     pub(super) fn has_crash_news(&self, index: usize, from: usize) -> bool {
-        let known = self.hosts[index].crashes.places.get(&from).copied();
+        let known = self.hosts[index].crashes.positions.get(&from).copied();
         let book = &self.hosts[from].crashes.book;
         let news = book.news_since(known.unwrap_or_default(), self.crash_now());
         !news.marks.is_empty()
@@ -135,16 +137,16 @@
 
     pub(super) fn take_crashes(&mut self, index: usize, from: usize) {
         let now = self.crash_now();
-        let known = self.hosts[index].crashes.places.get(&from).copied();
-        let teller = &mut self.hosts[from].crashes;
-        let news = teller.book.news_since(known.unwrap_or_default(), now);
-        teller.sent_bytes += bytes_of(&news.marks);
+        let known = self.hosts[index].crashes.positions.get(&from).copied();
+        let sender = &mut self.hosts[from].crashes;
+        let news = sender.book.news_since(known.unwrap_or_default(), now);
+        sender.sent_bytes += bytes_of(&news.marks);
         let crashes = &mut self.hosts[index].crashes;
         crashes.book.take(&news.marks, MarkSource::Told, now);
-        crashes.places.insert(from, news.place);
+        crashes.positions.insert(from, news.place);
     }
 
-    pub(super) fn tell_crashes(&mut self, index: usize, trouble: &SimTrouble) {
+    pub(super) fn report_crashes(&mut self, index: usize, trouble: &SimTrouble) {
         if self.now < self.hosts[index].crashes.next_look || !self.hosts[index].knows_hosts {
             return;
         }
@@ -153,19 +155,19 @@
             Some(head) => vec![(head.name.clone(), self.place_of(&head.name), false)],
             None => self.zone_targets(index),
         };
-        // What an earlier head had heard may have ended with it. Zones stay.
-        let told = &mut self.hosts[index].crashes.told;
-        told.retain(|(name, is_zone), _| {
+        // A previous head may have died with what was reported to it. Other zones still have it.
+        let reported = &mut self.hosts[index].crashes.reported;
+        reported.retain(|(name, is_zone), _| {
             *is_zone || targets.iter().any(|target| target.0 == *name)
         });
-        let mut all_told = true;
+        let mut all_reported = true;
         for (name, to, is_zone) in targets {
-            all_told &= self.tell_one(index, name, to, is_zone, trouble);
+            all_reported &= self.report_crashes_to(index, name, to, is_zone, trouble);
         }
-        let pause = match all_told {
+        let pause = match all_reported {
             true => LOOK,
-            // A connection that hangs is waited for besides.
-            false => AGAIN + PATIENCE,
+            // A hanging connection also takes its timeout.
+            false => RESEND_PAUSE + PATIENCE,
         };
         self.hosts[index].crashes.next_look = self.now + pause;
     }
@@ -186,9 +188,9 @@
                     .push(place);
             }
         }
-        let passed_over = &self.hosts[index].crashes.passed_over;
+        let skipped = &self.hosts[index].crashes.skipped;
         let until = |place: &usize| {
-            let until = passed_over.get(place).copied();
+            let until = skipped.get(place).copied();
             until.filter(|until| self.now < *until).unwrap_or_default()
         };
         let targets = zones.into_iter().map(|(zone, places)| {
@@ -198,7 +200,7 @@
         targets.collect()
     }
 
-    fn tell_one(
+    fn report_crashes_to(
         &mut self,
         index: usize,
         name: FastStr,
@@ -208,26 +210,26 @@
     ) -> bool {
         let now = self.crash_now();
         let crashes = &self.hosts[index].crashes;
-        let told = crashes.told.get(&(name.clone(), is_zone)).copied();
+        let reported = crashes.reported.get(&(name.clone(), is_zone)).copied();
         let since = match is_zone {
-            true => Some(told.unwrap_or_default()),
-            false => told,
+            true => Some(reported.unwrap_or_default()),
+            false => reported,
         };
         let marks = crashes.book.reported_since(since, now);
         let revision = crashes.book.place().revision;
         if marks.is_empty() {
-            let told = &mut self.hosts[index].crashes.told;
-            told.insert((name, is_zone), revision);
+            let reported = &mut self.hosts[index].crashes.reported;
+            reported.insert((name, is_zone), revision);
             return true;
         }
         let (from, other) = (&self.hosts[index].entry, &self.hosts[to]);
-        let is_heard = other.is_up && (trouble.path)(from, &other.entry);
-        if !is_heard {
+        let is_reachable = other.is_up && (trouble.path)(from, &other.entry);
+        if !is_reachable {
             let local = self.local_now(index);
             let host = &mut self.hosts[index];
             match is_zone {
                 true => {
-                    host.crashes.passed_over.insert(to, self.now + PASS_OVER);
+                    host.crashes.skipped.insert(to, self.now + SKIP_TIME);
                 }
                 false => host.choice.note_unreported(&name, local),
             }
@@ -246,7 +248,7 @@
         }
         let crashes = &mut self.hosts[index].crashes;
         crashes.sent_bytes += bytes_of(&marks);
-        crashes.told.insert((name, is_zone), revision);
+        crashes.reported.insert((name, is_zone), revision);
         true
     }
 }
--- a/tests/fleet_sim/mod.rs
+++ b/tests/fleet_sim/mod.rs
@@ -1,6 +1,6 @@
-//! Hundreds of hosts as state machines on a clock of their own, before a store that may misbehave.
+//! Simulation of hundreds of hosts and a faulty store in virtual time.
 //!
-//! Each host's choice is the code that runs; the store, the questions between hosts and the time are this file's.
+//! Each host runs the real `SourceChoice`; the store, the queries between hosts and the clock are simulated here.
 
 #[allow(dead_code)]
 pub mod crashes;
@@ -17,24 +17,26 @@
     std::time::Duration,
 };
 
-/// Length of a step, milliseconds.
+/// Length of a simulation step in milliseconds, the unit of all times here.
 pub const STEP: u64 = 25;
-/// Where changes have to be in force within four seconds: news are old after 1.8.
+/// Time within which changes have to take effect; it makes data stale after 1.8 s.
 const CHANGE_TIME: Duration = Duration::from_secs(4);
-/// How long a watch waits, as the product has it there.
+/// Wait of a reader's watch, as the relay sets it for this change time.
 const WATCH: u64 = 900;
-/// How long a question waits for something newer, and how long its silence is borne.
+/// How long a query waits for something newer.
 const QUESTION: u64 = 300;
+/// Timeout of a query to a host that does not respond.
 const PATIENCE: u64 = 400;
-/// How often hosts report to their head.
+/// Interval between a host's reports to its head.
 const REPORT: u64 = 600;
-/// A look of a host that reads.
+/// Interval between the reads of a host that reads the store without being a reader.
 const LOOK: u64 = 350;
-/// Calls that a host makes which reads everything at its start: the configuration, a list that lags, its watch.
+/// Calls of a starting host that reads everything: the configuration, a list that lags, its watch.
 const START_CALLS: u64 = 3;
-/// Kinds that are watched.
+/// Number of watched object kinds.
 pub const KINDS: u64 = 2;
-/// Calls more of a host that reads a restored store: its watches and that of the hosts are refused, the lists are read.
+/// Extra calls of a host that reads a restored store: its watches and that of the hosts are rejected, and it rereads
+/// the lists.
 const RESTORE_CALLS: u64 = KINDS + 2;
 
 pub struct SimHost {
@@ -43,28 +45,29 @@
     pub started: u64,
     pub is_up: bool,
     pub knows_hosts: bool,
-    // Until when its view is known to be the newest, and what it shows.
+    // Last time at which its data was known to be current.
     pub confirmed: Option<u64>,
     pub version: u64,
     pub era: u32,
-    // Whole lists that others were told since the store was restored.
-    pub told_whole: u64,
-    // When its configuration was surely the newest: the sending of a call that was answered.
+    // Full lists that it sent to other hosts since the store was restored.
+    pub full_lists_sent: u64,
+    // Last time at which its configuration was proved current: the send time of a call that got a response.
     pub proved: Option<u64>,
-    // When its last watch was sent; it is answered when the host looks again.
+    // Send time of its last watch, which gets its response when the host reads again.
     pub watched: Option<u64>,
-    // What it waits for, until then.
+    // Time of its next action, or start of the query in flight.
     pub busy_until: u64,
+    // The host that it queries.
     pub asked: Option<usize>,
     pub failures: u32,
-    // The store fails to answer it, or whom it follows.
+    // Whether the store does not respond to it or to the host that it follows.
     pub is_lost: bool,
-    // The host that reported the newest view, and until when that was the newest.
+    // The host that reported the newest data, and the time at which that was current.
     pub newest: Option<(usize, u64)>,
     pub crashes: SimCrashes,
 }
 
-/// Whom the store answers, and who hears whom.
+/// Faults: which hosts the store serves, and which hosts can reach each other.
 pub struct SimTrouble {
     pub store: fn(&HostEntry) -> bool,
     pub path: fn(&HostEntry, &HostEntry) -> bool,
@@ -95,7 +98,7 @@
                 name: FastStr::from_string(format!("{zone}-{index}")),
                 zone: FastStr::new(zone),
                 peers: "127.0.0.1:9".parse().unwrap(),
-                // The first of each zone is its head.
+                // The first host of each zone is its head.
                 strength: [300, 200, 200].get(index).copied().unwrap_or(20),
             });
         }
@@ -114,7 +117,7 @@
 }
 
 impl SimFleet {
-    /// A fleet that has run for a while.
+    /// A fleet in its steady state.
     pub fn running(zones: usize, hosts: usize) -> Self {
         let entries = entries(zones, hosts);
         let mut fleet = Self {
@@ -139,7 +142,7 @@
                 confirmed: Some(9_900),
                 version: 1,
                 era: 1,
-                told_whole: 0,
+                full_lists_sent: 0,
                 proved: Some(9_900),
                 watched: None,
                 busy_until: 10_000 + fleet.rng.random_range(0..QUESTION),
@@ -155,7 +158,7 @@
         fleet
     }
 
-    /// Starts a host anew; it knows nothing.
+    /// Restarts a host without any data.
     pub fn restart(&mut self, index: usize) {
         let is_seed = self.seeds.contains(&index);
         let (patience, told) = match is_seed {
@@ -189,7 +192,7 @@
         }
     }
 
-    // Runs until all that are up know the newest version; gives how long that took.
+    /// Runs until all hosts that are up have the newest version and returns how long that took.
     pub fn time_to_force(&mut self, trouble: &SimTrouble, bound: u64) -> u64 {
         let start = self.now;
         while self
@@ -197,7 +200,10 @@
             .iter()
             .any(|host| host.is_up && host.version < self.version)
         {
-            assert!(self.now - start < bound, "not in force within {bound} ms");
+            assert!(
+                self.now - start < bound,
+                "change did not reach all hosts within {bound} ms"
+            );
             self.run(trouble, STEP);
         }
         self.now - start
@@ -206,9 +212,9 @@
     fn step(&mut self, index: usize, trouble: &SimTrouble) {
         self.report(index, trouble);
         self.learn_crashes(index, trouble);
-        self.tell_crashes(index, trouble);
+        self.report_crashes(index, trouble);
         if let Some(asked) = self.hosts[index].asked {
-            self.hear(index, asked, trouble);
+            self.poll_query(index, asked, trouble);
             return;
         }
         let reads_newer =
@@ -227,7 +233,7 @@
                 self.hosts[index].busy_until = self.now;
                 self.hosts[index].failures = 0;
             }
-            NewsSource::Seeds => self.ask_seed(index, trouble),
+            NewsSource::Seeds => self.query_seed(index, trouble),
         }
     }
 
@@ -248,13 +254,13 @@
         Duration::from_millis(self.now - self.hosts[index].started)
     }
 
-    // A question waits at whom it was asked until there is something newer, or its wait is over.
-    fn hear(&mut self, index: usize, asked: usize, trouble: &SimTrouble) {
+    // The queried host responds once it has something newer, or when the query's wait is over.
+    fn poll_query(&mut self, index: usize, asked: usize, trouble: &SimTrouble) {
         let since = self.hosts[index].busy_until;
         let other = &self.hosts[asked];
-        let is_heard = other.is_up && (trouble.path)(&self.hosts[index].entry, &other.entry);
+        let is_reachable = other.is_up && (trouble.path)(&self.hosts[index].entry, &other.entry);
         let now = self.local_now(index);
-        if !is_heard {
+        if !is_reachable {
             if self.now >= since + PATIENCE || !other.is_up {
                 let name = other.entry.name.clone();
                 self.hosts[index].choice.note_silent(&name, now);
@@ -278,7 +284,7 @@
         self.hosts[index].asked = None;
         self.hosts[index].is_lost = is_lost;
         self.take(index, asked);
-        self.ask_newest(index, trouble);
+        self.query_newest(index, trouble);
     }
 
     fn take(&mut self, index: usize, from: usize) {
@@ -294,7 +300,7 @@
         };
         let era = self.hosts[from].era;
         if era > self.hosts[index].era {
-            self.hosts[from].told_whole += 1;
+            self.hosts[from].full_lists_sent += 1;
         }
         let host = &mut self.hosts[index];
         host.era = host.era.max(era);
@@ -313,7 +319,7 @@
         host.choice.set_hosts(all.iter());
     }
 
-    fn ask_newest(&mut self, index: usize, trouble: &SimTrouble) {
+    fn query_newest(&mut self, index: usize, trouble: &SimTrouble) {
         let host = &self.hosts[index];
         let Some((newest, at)) = host.newest else {
             return;
@@ -347,7 +353,7 @@
         let host = &mut self.hosts[index];
         let is_change = host.version < version && host.choice.is_served(local);
         if is_served {
-            // What is answered now was sent at the last look; the first call is answered at once.
+            // This response belongs to the watch sent at the last read; the first call gets its response at once.
             host.proved = host.proved.max(Some(host.watched.unwrap_or(now)));
             host.watched = Some(now);
             (host.confirmed, host.version, host.failures) = (Some(now), self.version, 0);
@@ -362,11 +368,11 @@
             let is_news = choice.served() != served;
             host.busy_until = now + if is_reader { WATCH } else { LOOK };
             if is_news || is_change {
-                self.tell_head(index, trouble);
+                self.report_to_head(index, trouble);
             }
             return;
         }
-        // One that knows no hosts reads them too, and asks as readers do.
+        // A host without the list of hosts reads that too and backs off like a reader.
         let pauses = if is_reader || !host.knows_hosts {
             READER_PAUSES
         } else {
@@ -376,11 +382,11 @@
         host.failures += 1;
         host.watched = None;
         host.is_lost = true;
-        self.ask_others(index, trouble);
+        self.query_other_heads(index, trouble);
     }
 
-    // The store turns this host away: heads of other zones and the newest reporter may know more.
-    fn ask_others(&mut self, index: usize, trouble: &SimTrouble) {
+    // After a failed read, heads of other zones and the newest reporter may have newer data.
+    fn query_other_heads(&mut self, index: usize, trouble: &SimTrouble) {
         let heads = self.hosts[index].choice.other_heads(self.local_now(index));
         let asked: Vec<HostEntry> = heads.sample(&mut self.rng, 2).cloned().collect();
         for entry in asked {
@@ -395,15 +401,15 @@
                 self.take(index, other);
             }
         }
-        self.ask_newest(index, trouble);
+        self.query_newest(index, trouble);
     }
 
-    fn ask_seed(&mut self, index: usize, trouble: &SimTrouble) {
+    fn query_seed(&mut self, index: usize, trouble: &SimTrouble) {
         let seed = *self.seeds.choose(&mut self.rng).unwrap();
         self.hosts[index].busy_until = self.now + 100;
         let other = &self.hosts[seed];
-        let is_heard = other.is_up && (trouble.path)(&self.hosts[index].entry, &other.entry);
-        if seed == index || !is_heard {
+        let is_reachable = other.is_up && (trouble.path)(&self.hosts[index].entry, &other.entry);
+        if seed == index || !is_reachable {
             return;
         }
         let knows_hosts = other.knows_hosts;
@@ -420,11 +426,11 @@
 
     fn report(&mut self, index: usize, trouble: &SimTrouble) {
         if (self.now + index as u64 * STEP).is_multiple_of(REPORT) {
-            self.tell_head(index, trouble);
+            self.report_to_head(index, trouble);
         }
     }
 
-    fn tell_head(&mut self, index: usize, trouble: &SimTrouble) {
+    fn report_to_head(&mut self, index: usize, trouble: &SimTrouble) {
         let host = &self.hosts[index];
         let (Some(head), Some(confirmed)) =
             (host.choice.head(self.local_now(index)), host.confirmed)
@@ -447,6 +453,6 @@
         if known.is_none_or(|(_, at)| confirmed > at) {
             *known = Some((index, confirmed));
         }
-        self.ask_newest(head, trouble);
+        self.query_newest(head, trouble);
     }
 }
--- a/tests/fleet_sim/restores.rs
+++ b/tests/fleet_sim/restores.rs
@@ -1,14 +1,14 @@
-//! A store that comes back from a copy of itself.
+//! A store that is restored from a backup.
 
 use super::SimFleet;
 
 impl SimFleet {
-    /// The store is restored, and something is written at once.
+    /// Restores the store and writes a change right after.
     pub fn restore(&mut self) {
         self.era += 1;
         self.version += 1;
         for host in &mut self.hosts {
-            host.told_whole = 0;
+            host.full_lists_sent = 0;
         }
     }
 }
--- a/tests/relay_budget.rs
+++ b/tests/relay_budget.rs
@@ -1,4 +1,4 @@
-//! Repeats: what one host takes of the allowance, and what all hosts take together.
+//! Retry budget of a single host and of all hosts together.
 
 use {
     bayplank::relay::{DemandCounts, FleetDemand, RetryAllowance, WindowBudget},
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn repeats_stay_within_the_hosts_share_of_the_window() {
+fn retries_stay_within_the_hosts_share_of_the_window() {
     check!().with_type::<Vec<(u8, bool)>>().for_each(|steps| {
         let allowance = RetryAllowance {
             share: 0.2,
@@ -43,12 +43,12 @@
     });
 }
 
-// Hosts that share an allowance, each of which hears of the others after a lag.
+// Hosts that share a retry budget and receive each other's counts after a lag.
 struct BudgetFleet {
     allowance: RetryAllowance,
     budgets: Vec<WindowBudget>,
-    // What all counted at each step.
-    told: Vec<Vec<DemandCounts>>,
+    // Counts of all hosts at each step.
+    reported: Vec<Vec<DemandCounts>>,
     requests: Vec<Duration>,
     repeats: Vec<Duration>,
 }
@@ -65,17 +65,17 @@
                 window: millis(10_000),
             },
             budgets: (0..Self::HOSTS).map(|_| WindowBudget::default()).collect(),
-            told: Vec::new(),
+            reported: Vec::new(),
             requests: Vec::new(),
             repeats: Vec::new(),
         }
     }
 
-    // What a host knows of the others; none is told before the lag is over.
+    // What a host knows of the others: nothing until the lag is over.
     fn fleet(&self, host: usize, lag: usize) -> FleetDemand {
-        let seen = self.told.len().checked_sub(1 + lag);
+        let seen = self.reported.len().checked_sub(1 + lag);
         let others = seen.map(|step| {
-            let counts = self.told[step].iter().enumerate();
+            let counts = self.reported[step].iter().enumerate();
             let others = counts.filter(|(other, _)| *other != host);
             others.fold(DemandCounts::default(), |sum, (_, one)| DemandCounts {
                 requests: sum.requests + one.requests,
@@ -88,16 +88,17 @@
         }
     }
 
-    // Each host that is asked takes one request, and as many repeats as it may, up to six.
-    fn step(&mut self, asked: u16, needy: u16, lag: usize, now: Duration) {
+    // Bit masks of hosts: each one in `active` gets a request, each one in `retrying` sends up to six retries, as far
+    // as the budget allows.
+    fn step(&mut self, active: u16, retrying: u16, lag: usize, now: Duration) {
         for host in 0..Self::HOSTS {
             let fleet = self.fleet(host, lag);
             let budget = &mut self.budgets[host];
-            if asked & (1 << host) != 0 {
+            if active & (1 << host) != 0 {
                 budget.earn(self.allowance.window, now);
                 self.requests.push(now);
             }
-            let wanted = if needy & (1 << host) != 0 { 6 } else { 0 };
+            let wanted = if retrying & (1 << host) != 0 { 6 } else { 0 };
             for _ in 0..wanted {
                 if budget.allows(self.allowance, &fleet, now) {
                     budget.count(now);
@@ -108,7 +109,7 @@
         let window = self.allowance.window;
         let counts = self.budgets.iter_mut();
         let counts = counts.map(|budget| budget.counts(window, now)).collect();
-        self.told.push(counts);
+        self.reported.push(counts);
     }
 
     fn recent(times: &[Duration], until: Duration, window: Duration) -> usize {
@@ -117,7 +118,8 @@
         recent.count()
     }
 
-    // Operators count the requests over the window, or over one that lies a half or a whole window earlier.
+    // The limit is computed from the requests of the current window or of one that ends half a window or a whole one
+    // earlier, whichever has most: operators may count over any of them.
     fn assert_within(&self, now: Duration) {
         let window = self.allowance.window;
         let ends = [now, now - window / 2, now - window];
@@ -130,23 +132,23 @@
 }
 
 #[test]
-fn hosts_that_hear_of_each_other_late_stay_within_the_allowance_together() {
+fn hosts_with_delayed_reports_stay_within_the_budget_together() {
     check!()
         .with_type::<(u8, Vec<(u16, u16)>)>()
         .for_each(|(lag, steps)| {
             let mut fleet = BudgetFleet::new();
-            // After the first window of their run, in which hosts take less.
+            // After the first window of their run, in which hosts have a smaller budget.
             let mut now = millis(10_000);
-            for (asked, needy) in steps.iter().cycle().take(steps.len().min(40) * 3) {
+            for (active, retrying) in steps.iter().cycle().take(steps.len().min(40) * 3) {
                 now += BudgetFleet::STEP;
-                fleet.step(*asked, *needy, usize::from(lag % 5), now);
+                fleet.step(*active, *retrying, usize::from(lag % 5), now);
                 fleet.assert_within(now);
             }
         });
 }
 
 #[test]
-fn a_host_in_need_takes_what_others_leave_and_not_more_than_the_allowance() {
+fn a_host_uses_the_budget_that_others_leave_but_no_more_than_the_whole() {
     let mut fleet = BudgetFleet::new();
     let alone = 0.65 * (0.2 * 33.0 + 58.0 / BudgetFleet::HOSTS as f64);
     let mut now = millis(10_000);
@@ -160,7 +162,7 @@
 }
 
 #[test]
-fn a_host_that_was_just_started_leaves_room_for_the_repeats_of_its_last_run() {
+fn a_restarted_host_leaves_budget_for_the_retries_of_its_previous_run() {
     let allowance = BudgetFleet::new().allowance;
     let alone = FleetDemand {
         hosts: 1,
@@ -179,7 +181,7 @@
 }
 
 #[test]
-fn a_budget_that_nobody_asks_remembers_only_its_window() {
+fn an_idle_budget_keeps_only_the_entries_of_its_window() {
     let allowance = RetryAllowance {
         share: 0.2,
         extra: 58.0,
--- a/tests/relay_burst.rs
+++ b/tests/relay_burst.rs
@@ -1,4 +1,5 @@
-//! A burst beyond what the decode engines hold, played through the decisions of several hosts: what callers get.
+//! Simulates a burst beyond the capacity of the decode engines with the decisions of several hosts, and counts how
+//! many callers are served in time.
 
 use {
     bayplank::relay::{self, CallerWaits, LineEntrant},
@@ -10,18 +11,21 @@
 const ENGINES: usize = 6;
 const HOSTS: usize = 7;
 const TARGET: Duration = Duration::from_millis(900);
-/// From the reservation to the first event.
+/// Time from the reservation to the first event.
 const SERVICE_MS: u64 = 250;
-/// How long an answer holds its memory.
+/// How long an answer occupies its memory.
 const RUN_MS: u64 = 3_500;
-/// How long a caller waits in line, and then until it comes back once.
-const LINE_MS: u64 = 1_200;
-const AWAY_MS: u64 = 1_000;
-const CALLER_MS: u64 = 14_000;
+/// How long a request is queued before it is refused.
+const QUEUE_MS: u64 = 1_200;
+/// Time from the refusal to the caller's only retry.
+const RETRY_DELAY_MS: u64 = 1_000;
+/// Timeout of a caller at its first attempt.
+const CALLER_TIMEOUT_MS: u64 = 14_000;
 
 struct Caller {
-    /// Of the first try, then of the second one.
+    /// Arrival of the current attempt.
     arrived: u64,
+    /// Arrival of the first attempt.
     first: u64,
     tokens: u64,
     waited: Duration,
@@ -56,8 +60,8 @@
     callers
 }
 
-/// Whether the hosts' decisions are used as they are, or as if all requests could be in time.
-fn play(seed: u64, yields: bool) -> Served {
+/// Runs one simulation. Without `yields` the hosts treat all requests as if they could still meet their target.
+fn simulate(seed: u64, yields: bool) -> Served {
     let mut hosts = StdRng::seed_from_u64(seed + 1_000);
     let mut lines: Vec<Vec<Caller>> = (0..HOSTS).map(|_| Vec::new()).collect();
     let mut waits: Vec<CallerWaits> = (0..HOSTS).map(|_| CallerWaits::default()).collect();
@@ -71,7 +75,7 @@
         for (_, mut caller) in due {
             let host = hosts.random_range(0..HOSTS);
             ticket += 1;
-            let left = Duration::from_millis(CALLER_MS - (now - caller.first));
+            let left = Duration::from_millis(CALLER_TIMEOUT_MS - (now - caller.first));
             let waited = waits[host].waited(&"route".into(), left);
             caller.waited = if yields { waited } else { Duration::ZERO };
             (caller.arrived, caller.ticket) = (now, ticket);
@@ -102,11 +106,11 @@
         for line in &mut lines {
             let (over, waiting): (Vec<_>, Vec<_>) = line
                 .drain(..)
-                .partition(|caller| now - caller.arrived >= LINE_MS);
+                .partition(|caller| now - caller.arrived >= QUEUE_MS);
             *line = waiting;
             for caller in over {
                 match caller.arrived == caller.first {
-                    true => away.push((now + AWAY_MS, caller)),
+                    true => away.push((now + RETRY_DELAY_MS, caller)),
                     false => served.refused += 1,
                 }
             }
@@ -126,21 +130,21 @@
 }
 
 #[test]
-fn in_a_burst_those_who_can_only_be_late_leave_memory_to_those_who_can_be_in_time() {
+fn in_a_burst_late_requests_leave_memory_to_those_that_can_still_be_in_time() {
     let sum = |yields: bool| -> (usize, usize) {
-        let days = (0..20).map(|seed| play(seed, yields));
-        days.fold((0, 0), |sum, day| {
-            (sum.0 + day.in_time, sum.1 + day.refused + day.late)
+        let runs = (0..20).map(|seed| simulate(seed, yields));
+        runs.fold((0, 0), |sum, run| {
+            (sum.0 + run.in_time, sum.1 + run.refused + run.late)
         })
     };
     let (before, after) = (sum(false), sum(true));
     assert_eq!(before.0 + before.1, after.0 + after.1, "the same callers");
-    // 3,029 of 3,747 in time before, 3,256 with it.
+    // 3,029 of 3,747 in time without yielding, 3,256 with it.
     assert!(after.0 * 100 >= before.0 * 105, "{before:?} {after:?}");
 }
 
 #[test]
-fn callers_that_come_back_are_known_and_those_with_other_times_are_not_taken_for_them() {
+fn retrying_callers_are_told_from_callers_with_other_timeouts() {
     let mut waits = CallerWaits::default();
     let route = "route".into();
     let millis = Duration::from_millis;
@@ -148,7 +152,7 @@
     assert_eq!(
         waits.waited(&route, millis(13_996)),
         Duration::ZERO,
-        "the way here"
+        "network delay"
     );
     assert_eq!(waits.waited(&route, millis(11_700)), millis(2_300));
     let mut mixed = CallerWaits::default();
--- a/tests/relay_decisions.rs
+++ b/tests/relay_decisions.rs
@@ -1,4 +1,4 @@
-//! The plain state machines of passing requests through: routes, beliefs, choices, budgets, events.
+//! Unit tests of the relay's state machines: routes, cluster state, choice of servers, events, queue.
 
 mod backends;
 
@@ -75,19 +75,19 @@
 }
 
 #[test]
-fn a_route_draws_its_services_by_weight() {
+fn a_route_picks_its_services_by_weight() {
     let table = RouteTable::new(config(1));
     let route = table.find("shop.example", "/a/b/").unwrap();
     let draws = (0..4_000).map(|_| table.draw_service(&route).unwrap().name.clone());
     let ones = draws.filter(|name| name == "one").count();
     assert!(
         (2_700..3_300).contains(&ones),
-        "{ones} of 4000 for three of four shares"
+        "{ones} of 4000 with a weight of 3 in 4"
     );
 }
 
 #[test]
-fn versions_of_the_configuration_and_of_the_list_never_fall() {
+fn configuration_version_and_list_position_never_decrease() {
     check!()
         .with_type::<Vec<(u8, u8, u8, bool)>>()
         .for_each(|steps| {
@@ -122,8 +122,8 @@
     })
 }
 
-// A server that was listed and confirmed at zero, and is gone at the next look, at this time.
-fn gone_at(now: u64) -> ClusterState {
+// A cluster whose only server was listed and confirmed at time zero and is removed by the next read, at `now`.
+fn removed_at(now: u64) -> ClusterState {
     let mut cluster = ClusterState::new(millis(1_200));
     cluster.change_backends(vec![listed("w-1", 2)], at(2), millis(0));
     cluster.confirm(StoreKind::Backends, millis(0));
@@ -133,24 +133,24 @@
 }
 
 #[test]
-fn an_entry_that_goes_while_the_store_is_well_is_not_used_again() {
-    assert!(gone_at(10).usable().is_empty());
-    // The store was out of reach for a while, but not for as long as an entry takes to lapse: the server
-    // left by itself. A host that its store was cut off from used it 2.005 s long (a hunted day).
-    assert!(gone_at(1_400).usable().is_empty());
-    assert!(gone_at(2_300).usable().is_empty());
+fn an_entry_removed_while_the_store_is_reachable_is_not_used_again() {
+    assert!(removed_at(10).usable().is_empty());
+    // The store was unreachable for less time than an entry takes to expire, so the server left by itself. In a
+    // randomized test run, a host that had been cut off from its store kept using such a server for 2.005 s.
+    assert!(removed_at(1_400).usable().is_empty());
+    assert!(removed_at(2_300).usable().is_empty());
 }
 
 #[test]
-fn an_entry_that_lapsed_in_an_outage_is_used_a_while_longer() {
-    let mut cluster = gone_at(2_500);
+fn an_entry_that_expired_in_a_store_outage_is_used_a_while_longer() {
+    let mut cluster = removed_at(2_500);
     assert_eq!(cluster.usable().len(), 1);
     assert!(cluster.expire(millis(4_500)));
     assert!(cluster.usable().is_empty());
 }
 
 #[test]
-fn an_entry_that_goes_soon_after_an_outage_may_have_lapsed_in_it() {
+fn an_entry_removed_soon_after_an_outage_may_have_expired_in_it() {
     let mut cluster = ClusterState::new(millis(1_200));
     cluster.change_backends(vec![listed("w-1", 2)], at(2), millis(0));
     cluster.confirm(StoreKind::Backends, millis(0));
@@ -159,19 +159,19 @@
     let gone = vec![StoreChange::Removed("w-1".into())];
     cluster.change_backends(gone.clone(), at(3), millis(4_600));
     assert_eq!(cluster.usable().len(), 1);
-    // Another host that was told of the outage takes it the same way, until it is long ago.
+    // A host that learned of the outage from another one behaves the same, until the outage is long ago.
     for (ended, kept) in [(4_000, 1), (1_000, 0)] {
-        let mut told = ClusterState::new(millis(1_200));
-        told.change_backends(vec![listed("w-1", 2)], at(2), millis(4_300));
-        told.confirm(StoreKind::Backends, millis(4_300));
-        told.note_outage(millis(ended));
-        told.change_backends(gone.clone(), at(3), millis(4_600));
-        assert_eq!(told.usable().len(), kept);
+        let mut other = ClusterState::new(millis(1_200));
+        other.change_backends(vec![listed("w-1", 2)], at(2), millis(4_300));
+        other.confirm(StoreKind::Backends, millis(4_300));
+        other.note_outage(millis(ended));
+        other.change_backends(gone.clone(), at(3), millis(4_600));
+        assert_eq!(other.usable().len(), kept);
     }
 }
 
 #[test]
-fn an_older_list_brings_no_server_back() {
+fn an_older_list_does_not_restore_a_removed_server() {
     let mut cluster = ClusterState::default();
     cluster.set_backends(vec![backend("w-1", "z", None)], at(5), millis(1));
     cluster.set_backends(Vec::new(), at(9), millis(2));
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_server_that_fails_twice_is_passed_over_for_a_while_and_then_tried_again() {
+fn a_server_that_fails_twice_is_ejected_for_a_while_and_then_tried_again() {
     let mut book = BackendBook::default();
     book.set_backends(vec![backend("w-1", "z", None), backend("w-2", "z", None)]);
     assert!(!book.failed("w-1", BackendFailure::Broken, millis(0)));
@@ -191,35 +191,35 @@
 }
 
 #[test]
-fn a_server_that_failed_is_tried_by_one_request_at_a_time() {
+fn after_its_ejection_a_server_is_probed_by_one_request_at_a_time() {
     let mut book = BackendBook::default();
     book.set_backends(vec![backend("w-1", "z", None), backend("w-2", "y", None)]);
     let first = |book: &BackendBook, now| book.rank_plain("one", "z", &[], now)[0].id.clone();
-    let is_on_trial = |book: &BackendBook| book.view("w-1").unwrap().is_on_trial();
+    let is_probing = |book: &BackendBook| book.view("w-1").unwrap().is_on_trial();
     let old = book.call_began("w-1", false, millis(0));
     book.failed("w-1", BackendFailure::Silent, millis(1));
-    assert!(!is_on_trial(&book), "an old request is no trial");
+    assert!(!is_probing(&book), "an earlier request is no probe");
     book.call_ended("w-1", old);
     assert_eq!(first(&book, millis(100)), "w-2");
     assert_eq!(first(&book, millis(600)), "w-1");
-    let trial = book.call_began("w-1", false, millis(600));
-    assert!(is_on_trial(&book));
+    let probe = book.call_began("w-1", false, millis(600));
+    assert!(is_probing(&book));
     assert_eq!(first(&book, millis(601)), "w-2");
     book.answered("w-1", true);
-    book.call_ended("w-1", trial);
-    assert!(!is_on_trial(&book));
+    book.call_ended("w-1", probe);
+    assert!(!is_probing(&book));
     assert_eq!(first(&book, millis(620)), "w-1");
 }
 
 #[test]
-fn a_silent_server_is_passed_over_at_once() {
+fn a_server_is_ejected_after_a_single_timeout() {
     let mut book = BackendBook::default();
     book.set_backends(vec![backend("w-1", "z", None)]);
     assert!(book.failed("w-1", BackendFailure::Silent, millis(0)));
 }
 
 #[test]
-fn plain_calls_prefer_the_own_zone_until_it_is_busier() {
+fn plain_requests_prefer_the_own_zone_until_it_is_busier() {
     let mut book = BackendBook::default();
     book.set_backends(vec![backend("near", "z", None), backend("far", "y", None)]);
     let first = |book: &BackendBook| book.rank_plain("one", "z", &[], millis(1))[0].id.clone();
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn a_server_whose_request_is_long_unanswered_is_doubted() {
+fn a_server_with_a_long_unanswered_request_is_avoided() {
     let mut book = BackendBook::default();
     book.set_backends(vec![backend("near", "z", None), backend("far", "y", None)]);
     book.call_began("near", false, millis(0));
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn an_engine_without_room_is_not_asked_for_as_much_at_once() {
+fn an_engine_without_memory_is_not_asked_for_as_much_right_away() {
     let mut book = BackendBook::default();
     book.set_backends(vec![backend("d-1", "z", Some(EngineRole::Decode))]);
     book.refused("d-1", 3_000, millis(0));
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn memory_and_prompts_are_counted_back_to_nothing() {
+fn memory_counts_return_to_zero() {
     check!().with_type::<Vec<(bool, u16)>>().for_each(|steps| {
         let mut book = BackendBook::default();
         book.set_backends(vec![backend("d-1", "z", Some(EngineRole::Decode))]);
@@ -275,7 +275,7 @@
 }
 
 #[test]
-fn an_engine_that_declines_is_passed_over_for_a_while() {
+fn an_engine_that_declines_is_skipped_for_a_while() {
     let mut book = BackendBook::default();
     book.set_backends(vec![backend("p-1", "z", Some(EngineRole::Prefill))]);
     book.declined("p-1", millis(0));
@@ -284,7 +284,7 @@
 }
 
 #[test]
-fn a_busy_prefill_engine_gives_way_to_one_of_another_zone() {
+fn an_idle_prefill_engine_of_another_zone_is_preferred_to_a_busy_one() {
     let mut book = BackendBook::default();
     let role = Some(EngineRole::Prefill);
     book.set_backends(vec![backend("near", "z", role), backend("far", "y", role)]);
@@ -296,7 +296,7 @@
 }
 
 #[test]
-fn events_come_whole_however_they_are_cut() {
+fn events_are_emitted_whole_wherever_the_input_is_split() {
     check!().with_type::<Vec<u8>>().for_each(|cuts| {
         let text: String = (1..=9)
             .map(|id| format!("id: {id}\ndata: piece {id}\n\n"))
@@ -320,7 +320,7 @@
 }
 
 #[test]
-fn a_status_that_promises_that_nothing_ran_is_only_given_where_it_is_true() {
+fn only_requests_that_did_not_run_get_a_status_that_says_so() {
     let codes = [
         RefusalCode::InvalidRequest,
         RefusalCode::TooLarge,
@@ -347,7 +347,7 @@
 }
 
 #[test]
-fn the_line_serves_who_can_be_in_time_then_the_most_urgent() {
+fn the_queue_serves_requests_that_can_be_in_time_first_then_by_priority() {
     let key = |late, priority, due, ticket| LineKey {
         late,
         priority,
@@ -371,17 +371,17 @@
 }
 
 #[test]
-fn a_refusal_for_lack_of_memory_says_what_speaks_against_each_engine() {
+fn a_refusal_for_lack_of_memory_counts_the_engines_by_reason() {
     let mut book = BackendBook::default();
     let decode = |id: &str| backend(id, "a", Some(EngineRole::Decode));
     let engines = ["e-1", "e-2", "e-3", "e-4", "e-5", "e-6"].map(decode);
     book.set_backends(engines.to_vec());
     let now = Duration::from_secs(1);
-    let said = relay::ServerMarks {
+    let marks = relay::ServerMarks {
         backoff: relay::BackoffMark::Lasting(now),
         ..relay::ServerMarks::default()
     };
-    book.availability.note(&engines[5].run(), &said, now);
+    book.availability.note(&engines[5].run(), &marks, now);
     book.failed("e-1", BackendFailure::Silent, now);
     book.declined("e-2", now);
     book.memory_taken("e-3", 40_000);
--- a/tests/relay_fleet.rs
+++ b/tests/relay_fleet.rs
@@ -1,4 +1,4 @@
-//! Who asks the store, and how soon all know, at 9, 295 and 420 hosts.
+//! Simulated fleets of 9, 295 and 420 hosts: number of calls to the store, and time until all hosts have a change.
 
 mod fleet_sim;
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_store_that_is_away_for_eight_seconds_is_asked_by_few_and_all_hear_soon_that_it_is_back() {
+fn during_an_eight_second_outage_few_hosts_call_the_store_and_all_soon_notice_its_return() {
     for (zones, hosts) in [(3, 3), (5, 59), (7, 60)] {
         let away = SimTrouble {
             store: |_| false,
@@ -31,7 +31,7 @@
         };
         let mut fleet = SimFleet::running(zones, hosts);
         fleet.run(&away, 8_000);
-        // Two readers each second, and one more host of each zone; two kinds each.
+        // The two readers and one more host of each zone call twice a second, for two kinds each.
         let bound = 2 * KINDS * 8 * 2 + zones as u64 * KINDS * 8 * 2;
         assert!(
             fleet.calls <= bound,
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_restored_store_is_read_again_by_few_and_all_soon_know_what_is_written_after_it() {
+fn a_restored_store_is_reread_by_few_hosts_and_later_writes_soon_reach_all() {
     for (zones, hosts) in [(3, 3), (5, 59), (7, 60)] {
         let away = SimTrouble {
             store: |_| false,
@@ -65,23 +65,23 @@
         assert!(time <= 1_500, "{zones} zones of {hosts}: {time} ms");
         assert!(fleet.hosts.iter().all(|host| host.era == fleet.era));
         fleet.run(&CALM, 9_000 - time);
-        // What readers call anyway, and what each of them reads anew.
+        // The readers' usual calls, plus those with which each of them rereads the store.
         assert!(
             fleet.calls <= 44 + 12,
             "{zones} zones of {hosts}: {}",
             fleet.calls
         );
-        let told = fleet.hosts.iter().map(|host| host.told_whole);
+        let told = fleet.hosts.iter().map(|host| host.full_lists_sent);
         let busiest = told.max().unwrap();
         assert!(
             busiest <= hosts as u64,
-            "{zones} zones of {hosts}: {busiest} whole lists"
+            "{zones} zones of {hosts}: {busiest} full lists"
         );
     }
 }
 
 #[test]
-fn a_store_that_turns_away_the_readers_only_is_read_by_others() {
+fn a_store_that_rejects_only_the_readers_is_read_by_other_hosts() {
     let no_heads = SimTrouble {
         store: |entry| {
             !["-0", "-1", "-2"]
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn one_reader_that_the_store_turns_away_costs_no_change_its_time() {
+fn rejecting_one_reader_delays_no_change() {
     let mut fleet = SimFleet::running(5, 59);
     let one = SimTrouble {
         store: |entry| entry.zone != "z-c",
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn all_hosts_killed_are_told_within_two_seconds_and_most_by_each_other() {
+fn after_all_hosts_were_killed_they_recover_within_two_seconds_mostly_from_each_other() {
     for (zones, hosts) in [(3, 3), (5, 59), (7, 60)] {
         let mut fleet = SimFleet::running(zones, hosts);
         for host in &mut fleet.hosts {
@@ -128,7 +128,7 @@
         }
         fleet.version += 1;
         fleet.run(&CALM, 1_400);
-        // They start within half a second.
+        // All of them start within half a second.
         let mut order: Vec<usize> = (0..fleet.hosts.len()).collect();
         for turn in 0..20 {
             let left = order.len();
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn a_zone_that_is_cut_off_tries_the_store_little_and_the_others_do_not_notice() {
+fn a_zone_that_is_cut_off_makes_few_calls_and_does_not_affect_the_others() {
     let cut = SimTrouble {
         store: |entry| entry.zone != "z-a",
         path: |from, to| (from.zone == "z-a") == (to.zone == "z-a"),
@@ -160,13 +160,17 @@
         fleet.version += 1;
         let version = fleet.version;
         let start = fleet.now;
-        let lacks = |fleet: &SimFleet| {
+        let outdated = |fleet: &SimFleet| {
             let others = fleet.hosts.iter().filter(|host| host.entry.zone != "z-a");
             others.filter(|host| host.version < version).count()
         };
-        while lacks(&fleet) > 0 {
+        while outdated(&fleet) > 0 {
             fleet.run(&cut, STEP);
-            assert!(fleet.now - start < 4_000, "{} lack it", lacks(&fleet));
+            assert!(
+                fleet.now - start < 4_000,
+                "{} hosts lack the change",
+                outdated(&fleet)
+            );
         }
         worst = worst.max(fleet.now - start);
         fleet.run(&cut, 900);
@@ -182,7 +186,7 @@
 }
 
 #[test]
-fn a_reader_that_falls_silent_is_replaced_before_changes_are_late() {
+fn a_reader_that_stops_responding_is_replaced_before_changes_are_late() {
     let mut fleet = SimFleet::running(5, 59);
     let readers: Vec<usize> = (0..fleet.hosts.len())
         .filter(|index| {
@@ -203,7 +207,7 @@
 }
 
 #[test]
-fn a_rolling_restart_reads_nothing_from_the_store() {
+fn a_rolling_restart_adds_at_most_one_store_call_per_host() {
     let mut fleet = SimFleet::running(5, 59);
     for index in 0..fleet.hosts.len() {
         fleet.hosts[index].is_up = false;
@@ -223,9 +227,10 @@
     fleet.time_to_force(&CALM, 1_000);
 }
 
-// Served hosts read on: with a look each two seconds changes were in force 3.0 s after their acknowledgement.
+// A host that the store serves must keep reading it: when it read only every two seconds, changes took effect 3.0 s
+// after their acknowledgement.
 #[test]
-fn changes_that_follow_each_other_are_known_soon_while_the_store_turns_many_away() {
+fn consecutive_changes_are_known_soon_while_the_store_rejects_many_hosts() {
     let a_third = SimTrouble {
         store: |entry| {
             let is_reader = ["-0", "-1"].iter().any(|end| entry.name.ends_with(end));
@@ -247,7 +252,7 @@
 }
 
 #[test]
-fn a_store_that_turns_away_the_readers_and_a_third_of_the_others_delays_changes_little() {
+fn a_store_that_rejects_the_readers_and_a_third_of_the_others_delays_changes_little() {
     let a_third = SimTrouble {
         store: |entry| {
             let is_reader = entry.name.ends_with("-0");
@@ -276,7 +281,7 @@
 }
 
 #[test]
-fn heads_and_named_hosts_that_start_in_a_silence_of_the_store_hold_no_zone_back() {
+fn heads_and_seed_hosts_that_restart_during_a_store_outage_delay_no_zone() {
     for (zones, hosts) in [(3, 3), (5, 59), (7, 60)] {
         let away = SimTrouble {
             store: |_| false,
--- a/tests/relay_kept.rs
+++ b/tests/relay_kept.rs
@@ -1,4 +1,4 @@
-//! Streams that go on are sent where their prompt is kept.
+//! Resumed streams are sent to an engine that has their prompt in its cache.
 
 mod backends;
 
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn an_engine_is_asked_for_all_first_then_for_changes_and_not_again_at_once() {
+fn an_engine_is_queried_for_its_full_list_then_for_changes_and_not_too_often() {
     let mut kept = KeptPrompts::default();
     let id = FastStr::new("d-1");
     assert_eq!(kept.question("d-1", millis(0)), Some(CacheQuestion::Whole));
@@ -54,12 +54,12 @@
     assert_eq!(later, Some(CacheQuestion::Since(40)));
     let changes = vec![change("p", 0), change("q", 2_000)];
     kept.take(&id, since(7, 42, changes), millis(505));
-    assert_eq!(kept.kept_tokens("d-1", "p"), 0, "driven out meanwhile");
+    assert_eq!(kept.kept_tokens("d-1", "p"), 0, "evicted meanwhile");
     assert_eq!(kept.kept_tokens("d-1", "q"), 2_000);
 }
 
 #[test]
-fn an_engine_that_was_started_anew_keeps_nothing_of_before() {
+fn a_restarted_engine_loses_its_cached_prompts() {
     let mut kept = KeptPrompts::default();
     let id = FastStr::new("d-1");
     kept.take(&id, whole(7, 40, vec![change("p", 3_000)]), millis(0));
@@ -69,12 +69,12 @@
     assert_eq!(
         question,
         Some(CacheQuestion::Whole),
-        "its list is not known"
+        "its full list is unknown"
     );
 }
 
 #[test]
-fn of_several_engines_the_one_that_keeps_most_is_chosen() {
+fn the_engine_that_caches_most_of_the_prompt_is_chosen() {
     let mut kept = KeptPrompts::default();
     let engines = [decode("d-1"), decode("d-2"), decode("d-3")];
     assert_eq!(kept.best_of(&engines, "p"), None);
@@ -92,9 +92,9 @@
     assert_eq!(best.engine.id, "d-1");
 }
 
-/// Streams that ran when all hosts were killed, over six decode engines, come back to hosts that know nothing:
-/// how many tokens of prompts are computed a second time.
-fn computed_again(uses_kept: bool) -> u64 {
+/// Prompt tokens computed a second time after all hosts were killed and the streams of six decode engines return to
+/// hosts without any state.
+fn recomputed_tokens(uses_cache: bool) -> u64 {
     const STREAMS: u64 = 42;
     const PROMPT: u64 = 3_200;
     let ids: Vec<String> = (0..6).map(|number| format!("d-{number}")).collect();
@@ -102,13 +102,13 @@
     let mut held: BTreeMap<&str, Vec<CacheChange>> = BTreeMap::new();
     for stream in 0..STREAMS {
         let id = ids[(stream % 6) as usize].as_str();
-        // One in seven was driven out by requests that came before the callers were back.
+        // One in seven was evicted by requests that arrived before the callers returned.
         let tokens = if stream % 7 == 0 { 0 } else { PROMPT };
         let part = change(&format!("p-{stream}"), tokens);
         held.entry(id).or_default().push(part);
     }
     let mut kept = KeptPrompts::default();
-    let mut again = 0;
+    let mut recomputed = 0;
     for stream in 0..STREAMS {
         let now = millis(stream * 20);
         for engine in &engines {
@@ -118,14 +118,14 @@
             }
         }
         let found = kept.best_of(&engines, &format!("p-{stream}"));
-        let saved = found.filter(|_| uses_kept).map_or(0, |found| found.tokens);
-        again += PROMPT - saved;
+        let saved = found.filter(|_| uses_cache).map_or(0, |found| found.tokens);
+        recomputed += PROMPT - saved;
     }
-    again
+    recomputed
 }
 
 #[test]
-fn after_all_hosts_were_killed_few_prompts_are_computed_again() {
-    assert_eq!(computed_again(false), 134_400);
-    assert_eq!(computed_again(true), 19_200);
+fn after_all_hosts_were_killed_few_prompts_are_recomputed() {
+    assert_eq!(recomputed_tokens(false), 134_400);
+    assert_eq!(recomputed_tokens(true), 19_200);
 }
--- a/tests/relay_loads.rs
+++ b/tests/relay_loads.rs
@@ -1,4 +1,4 @@
-//! What hosts report to each other of their requests, and what is made of it.
+//! Load reports between hosts and their effect on the choice of servers.
 
 mod backends;
 
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_host_is_told_what_all_others_take_and_a_zone_what_its_hosts_take() {
+fn a_host_gets_the_load_of_all_others_and_a_zone_that_of_its_hosts() {
     let mut board = LoadBoard::default();
     board.take(by_host("h-1"), report(vec![load("e-1", 10)]), millis(0));
     board.take(
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn demands_of_all_others_are_added_up_by_service() {
+fn demands_of_all_others_are_summed_per_service() {
     let demand = |requests, repeats| LoadReport {
         demands: vec![ServiceDemand {
             service: "one".into(),
@@ -89,18 +89,18 @@
 }
 
 #[test]
-fn an_answer_names_the_fullest_engines_and_stays_small() {
+fn a_reply_lists_the_fullest_engines_and_stays_small() {
     let mut board = LoadBoard::default();
     let loads = (0..500).map(|index| load(&format!("e-{index}"), index));
     board.take(by_host("h-1"), report(loads.collect()), millis(0));
-    let told = board.others_of(&"h-2".into(), millis(1)).loads;
-    assert_eq!(told.len(), 48);
-    assert_eq!(told[0], load("e-499", 499));
-    assert_eq!(board.of_zone(millis(1)).loads, told);
+    let reply = board.others_of(&"h-2".into(), millis(1)).loads;
+    assert_eq!(reply.len(), 48);
+    assert_eq!(reply[0], load("e-499", 499));
+    assert_eq!(board.of_zone(millis(1)).loads, reply);
 }
 
 #[test]
-fn hosts_of_a_large_zone_report_less_often_but_before_they_count_no_more() {
+fn hosts_of_a_large_zone_report_less_often_but_before_their_reports_expire() {
     assert_eq!(relay::report_period(1), millis(300));
     assert_eq!(relay::report_period(30), millis(300));
     assert_eq!(relay::report_period(45), millis(450));
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_report_stays_small_and_arrives_as_it_was() {
+fn a_report_is_compact_and_survives_serialization() {
     let mut sent = report(
         (0..48)
             .map(|index| load(&format!("e-{index}"), 16 * index))
@@ -122,7 +122,7 @@
     let mut message = capnp::message::Builder::new_default();
     relay::write_report(message.init_root(), &sent);
     let bytes = capnp::serialize::write_message_to_words(&message);
-    // 8 bytes an engine; with ids in text it was about 40.
+    // 8 bytes per engine; with textual ids it was about 40.
     assert!(bytes.len() < 48 * 10 + 100, "{} bytes", bytes.len());
     let read = capnp::serialize::read_message(bytes.as_slice(), Default::default()).unwrap();
     let arrived = relay::read_report(read.get_root().unwrap()).unwrap();
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn reports_of_hosts_that_are_gone_soon_count_no_more() {
+fn reports_of_removed_hosts_expire_soon() {
     let mut board = LoadBoard::default();
     board.take(by_host("h-1"), report(vec![load("e-1", 10)]), millis(0));
     board.take(by_host("h-2"), report(vec![load("e-1", 4)]), millis(1_000));
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_server_that_fails_two_other_hosts_is_passed_over_for_as_long_as_they_say_so() {
+fn a_server_ejected_by_two_other_hosts_is_avoided_while_they_report_it() {
     let mut board = LoadBoard::default();
     let mut failing = BackendBook::default();
     failing.set_backends(vec![backend("s-1", false), backend("s-2", false)]);
@@ -171,12 +171,12 @@
     assert_eq!(
         first(&book, millis(1_600)),
         "s-1",
-        "old reports count no more"
+        "old reports have expired"
     );
 }
 
 #[test]
-fn engines_that_others_fill_are_not_asked_until_that_is_old_news() {
+fn engines_that_others_fill_are_avoided_until_the_reports_expire() {
     let mut book = BackendBook::default();
     let engines = ["e-1", "e-2"].map(|id| BackendInfo {
         role: Some(EngineRole::Decode),
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn a_host_is_told_of_the_engines_that_it_works_with_however_empty_they_are() {
+fn a_reply_includes_the_preferred_engines_even_if_they_are_idle() {
     let mut board = LoadBoard::default();
     let full: Vec<EngineLoad> = (0..60)
         .map(|index| load(&format!("full-{index}"), 9_000 + index))
@@ -211,9 +211,9 @@
         ..LoadReport::default()
     };
     board.take(by_host("h-3"), asker, millis(0));
-    let told = board.others_of(&"h-3".into(), millis(100)).loads;
-    assert_eq!(told[0], load("near", 10));
-    assert_eq!(told.len(), 49, "and the fullest of the others");
+    let reply = board.others_of(&"h-3".into(), millis(100)).loads;
+    assert_eq!(reply[0], load("near", 10));
+    assert_eq!(reply.len(), 49, "and the fullest of the others");
     let others = board.others_of(&"h-1".into(), millis(100)).loads;
     assert!(
         others
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn what_is_known_of_a_run_goes_with_it_when_its_id_begins_anew() {
+fn the_state_of_a_server_is_dropped_when_it_restarts_under_the_same_id() {
     let mut book = BackendBook::default();
     let first = backend("e-1", false);
     book.set_backends(vec![first.clone()]);
@@ -232,8 +232,8 @@
     for _ in 0..3 {
         book.failed("e-1", BackendFailure::Silent, at);
     }
-    let told = book.loads(at);
-    assert_eq!((told.len(), told[0].passed_over), (1, 1));
+    let reported = book.loads(at);
+    assert_eq!((reported.len(), reported[0].passed_over), (1, 1));
     let again = BackendInfo {
         born: 7,
         ..first.clone()
@@ -242,8 +242,8 @@
     assert_eq!(changes.started, vec![first.clone()]);
     assert!(book.is_current(&again) && !book.is_current(&first));
     assert!(book.loads(at).is_empty(), "nothing is known of the new run");
-    // What other hosts still tell of the earlier run is not the new one's.
-    book.set_others(&told, at);
+    // Reports of other hosts about the earlier run do not apply to the new one.
+    book.set_others(&reported, at);
     assert_eq!(book.view("e-1").unwrap().memory_tokens(), 0);
     assert!(!book.view("e-1").unwrap().is_out(at));
     assert!(book.set_backends(vec![again]).is_empty());
--- a/tests/relay_reach.rs
+++ b/tests/relay_reach.rs
@@ -1,4 +1,4 @@
-//! Plain requests whose servers cannot be reached.
+//! Plain requests to unreachable servers.
 
 mod backends;
 
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn where_all_servers_fail_one_request_at_a_time_shows_whether_one_answers_again() {
+fn when_all_servers_fail_one_request_at_a_time_probes_each() {
     let mut book = BackendBook::default();
     let (near, far) = (backend("near", "z", None), backend("far", "y", None));
     book.set_backends(vec![near.clone(), far.clone()]);
@@ -25,26 +25,30 @@
         book.choose_plain("one", "z", &[], SendWish::default(), millis(at))
     };
     let PlainChoice::Send(first) = choose(&book, 10) else {
-        panic!("one request is to try");
+        panic!("one request should probe the first server");
     };
     let call = book.call_began(&first.id, false, millis(10));
     let PlainChoice::Send(second) = choose(&book, 11) else {
-        panic!("one request is to try the other server");
+        panic!("one request should probe the other server");
     };
     assert_ne!(first.id, second.id);
     book.call_began(&second.id, false, millis(11));
     assert_eq!(choose(&book, 12), PlainChoice::Unreachable);
     let tried = [first.id.clone()];
     let again = book.choose_plain("one", "z", &tried, SendWish::default(), millis(12));
-    assert_eq!(again, PlainChoice::Unreachable, "it would be held in vain");
+    assert_eq!(
+        again,
+        PlainChoice::Unreachable,
+        "a request that failed once must not wait for a probe"
+    );
     book.answered(&first.id, true);
     book.call_ended(&first.id, call);
     assert_eq!(choose(&book, 13), PlainChoice::Send(first));
 }
 
 #[test]
-fn of_many_requests_to_servers_that_cannot_be_reached_few_are_held() {
-    // 100 requests a second for two seconds; each that is sent finds no connection within 0.3 s.
+fn few_requests_to_unreachable_servers_are_held() {
+    // 100 requests a second for two seconds; each one that is sent times out after 0.3 s without a connection.
     let mut book = BackendBook::default();
     book.set_backends(vec![backend("w-1", "y", None), backend("w-2", "y", None)]);
     let mut open: Vec<(FastStr, u64, u64)> = Vec::new();
@@ -63,6 +67,6 @@
             open.push((server.id, call, at + 300));
         }
     }
-    // All 200 were held before: for 0.3 s, or for 0.6 s at two servers.
+    // Without probing by single requests all 200 were held for 0.3 s, or for 0.6 s at two servers.
     assert!(held <= 60, "{held} of 200 were held");
 }
--- a/tests/relay_split.rs
+++ b/tests/relay_split.rs
@@ -1,4 +1,4 @@
-//! How many engines compute prompts, and which of them change their role for that.
+//! Split of the engines into prefill and decode roles.
 
 mod backends;
 
@@ -22,7 +22,7 @@
         let wanted = relay::wanted_prefills(&sizes);
         let all: usize = sizes.iter().sum();
         let total: usize = wanted.iter().sum();
-        // A quarter at the least, a third at the most.
+        // At least a quarter and at most a third.
         assert!(
             total >= all / 4 && total <= all.div_ceil(3),
             "{total} of {all}"
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_plan_changes_as_few_engines_as_it_can_and_then_none() {
+fn a_plan_makes_the_fewest_role_changes_and_is_stable_afterwards() {
     let mut engines: Vec<BackendInfo> = (0..12)
         .map(|index| {
             let zone = ["a", "b", "c"][index % 3];
@@ -65,11 +65,11 @@
 }
 
 #[test]
-fn in_service_no_engine_changes_its_role_only_to_move_the_split_between_zones() {
+fn while_serving_no_role_changes_only_shift_the_split_between_zones() {
     let prefill = Some(EngineRole::Prefill);
     let decode = Some(EngineRole::Decode);
     let engine = |id: &str, zone, role| backend(id, zone, role);
-    // Two left zone c: the plan would have another zone compute prompts, with as many engines as before.
+    // Two engines left zone c: the plan would move a prefill engine to another zone without changing their number.
     let engines = [
         engine("a-1", "a", decode),
         engine("a-2", "a", decode),
@@ -81,7 +81,7 @@
     ];
     assert_eq!(relay::plan_roles(&engines).len(), 2, "a swap");
     assert!(relay::plan_in_service(&engines).is_empty());
-    // Where the split as a whole is off, it is corrected.
+    // A wrong overall split is corrected.
     let all: Vec<BackendInfo> = (0..9)
         .map(|index| backend(&format!("e-{index}"), ["a", "b", "c"][index % 3], prefill))
         .collect();
--- a/tests/relay_subset.rs
+++ b/tests/relay_subset.rs
@@ -1,4 +1,4 @@
-//! Which engines each host works with: enough, evenly spread, and mostly the same when hosts or engines come and go.
+//! Engine subsets: large enough, evenly spread, and stable when hosts or engines are added or removed.
 
 use {
     bayplank::relay,
@@ -21,7 +21,7 @@
     counts
 }
 
-// Engines that hosts which stay work with now and did not before.
+// Number of engines that were added to the subsets of the remaining hosts.
 fn moved(
     before: &BTreeMap<FastStr, BTreeSet<FastStr>>,
     after: &BTreeMap<FastStr, BTreeSet<FastStr>>,
@@ -34,8 +34,8 @@
 }
 
 #[test]
-fn hundreds_of_hosts_work_with_a_few_engines_each_and_few_hosts_with_all() {
-    // Decode and prefill engines of a zone with 59 hosts, of one with 60 before 243, of one with 3 before 4.
+fn subsets_are_small_with_many_hosts_and_contain_all_engines_with_few() {
+    // Decode and prefill engines of a zone with 59 hosts, of one with 60 hosts and 243 engines, of one with 3 and 4.
     assert_eq!(relay::subset_size(59, 37), 4);
     assert_eq!(relay::subset_size(59, 14), 3);
     assert_eq!(relay::subset_size(60, 180), 18);
@@ -50,14 +50,14 @@
 }
 
 #[test]
-fn a_host_that_is_not_listed_yet_works_with_all() {
+fn a_host_that_is_not_listed_yet_prefers_all_engines() {
     let engines = names("e", 30);
     let subset = relay::subset_of(&"new".into(), &names("h", 59), &engines);
     assert_eq!(subset.len(), 30);
 }
 
 #[test]
-fn no_engine_has_many_more_hosts_than_another_and_each_has_some() {
+fn engines_have_similar_numbers_of_hosts_and_none_has_zero() {
     check!()
         .with_type::<(u8, u8)>()
         .for_each(|(hosts, engines)| {
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_host_or_engine_that_comes_or_goes_moves_few_others() {
+fn adding_or_removing_a_host_or_engine_changes_few_subsets() {
     let (hosts, engines) = (names("h", 59), names("e", 37));
     let before = relay::all_subsets(&hosts, &engines);
     let all = 59 * relay::subset_size(59, 37);
