--- a/src/relay/parts/ends.rs
+++ b/src/relay/parts/ends.rs
@@ -44,7 +44,7 @@
         }
         for pause in BEGUN_PAUSES {
             tokio::time::sleep(pause).await;
-            if self.book.borrow().has_begun_anew(backend) {
+            if self.book.borrow().has_restarted(backend) {
                 return true;
             }
         }
--- a/src/relay/parts/shared.rs
+++ b/src/relay/parts/shared.rs
@@ -21,8 +21,9 @@
             belief::cluster::ClusterState,
             dialect::{BackendCall, CallDialect},
             policy::{
-                book::BackendBook, budget::WindowBudget, kept::KeptPrompts, limit_book::LimitBook,
-                line::WaitLine, route::RouteTable, view::BackendFailure, waited::CallerWaits,
+                book::BackendRegistry, budget::WindowBudget, kept::KeptPrompts,
+                limit_book::LimitBook, line::WaitLine, route::RouteTable, view::BackendFailure,
+                waited::CallerWaits,
             },
             settings::RelaySettings,
         },
@@ -57,7 +58,7 @@
     /// Connections to them.
     pub pool: Rc<ConnectionPool>,
     /// What is known of them.
-    pub book: RefCell<BackendBook>,
+    pub book: RefCell<BackendRegistry>,
     /// What engines keep of prompts that they read.
     pub kept: RefCell<KeptPrompts>,
     /// What the store says.
@@ -115,7 +116,7 @@
         let ledger_id = rand::random_range(1..=u64::MAX);
         let book_id = rand::random_range(1..=u64::MAX);
         let zone = settings.zone.clone();
-        let mut book = BackendBook::default();
+        let mut book = BackendRegistry::default();
         book.limits = LimitBook::new(&settings.name);
         let ledger = ZoneLedger::new(ledger_id, zone, settings.bounds.limits, Duration::ZERO);
         Rc::new(Self {
@@ -288,7 +289,10 @@
         if !self.book.borrow().is_current(backend) {
             return;
         }
-        let ejected = self.book.borrow_mut().failed(&backend.id, failure, now);
+        let ejected = self
+            .book
+            .borrow_mut()
+            .note_failure(&backend.id, failure, now);
         if ejected {
             self.metrics.ejections.inc();
             self.pool.forget(backend.address);
--- a/src/relay/parts/shares.rs
+++ b/src/relay/parts/shares.rs
@@ -7,7 +7,7 @@
         relay::{
             backend::BackendInfo,
             policy::{
-                book::OTHERS_LIFE,
+                book::PEER_LOAD_TTL,
                 budget::{DemandCounts, FleetDemand, RetryAllowance, WindowBudget},
                 loads::{EngineKey, LoadReport, ServiceDemand},
             },
@@ -45,7 +45,7 @@
     fn of(&self, service: &str, now: Duration) -> Option<DemandCounts> {
         let mut recent = self.demands.iter();
         let known = recent.find(|demand| demand.service == service)?;
-        let is_recent = now.saturating_sub(self.told) < OTHERS_LIFE;
+        let is_recent = now.saturating_sub(self.told) < PEER_LOAD_TTL;
         is_recent.then_some(DemandCounts {
             requests: known.requests,
             repeats: known.repeats,
@@ -200,7 +200,7 @@
     pub fn take_others(&self, report: LoadReport) {
         let now = self.now();
         self.take_near(&report.accounts);
-        self.book.borrow_mut().set_others(&report.loads, now);
+        self.book.borrow_mut().set_peer_loads(&report.loads, now);
         *self.others.borrow_mut() = OthersDemand {
             demands: report.demands,
             told: now,
--- a/src/relay/policy/book.rs
+++ b/src/relay/policy/book.rs
@@ -35,7 +35,7 @@
 const DECLINE_TIME: Duration = Duration::from_millis(1_500);
 
 /// Lifetime of the loads that other hosts report; older ones are ignored.
-pub(crate) const OTHERS_LIFE: Duration = Duration::from_millis(1_500);
+pub(crate) const PEER_LOAD_TTL: Duration = Duration::from_millis(1_500);
 
 /// Score penalty, in requests in flight, of a server whose backoff has just ended: its load ramps up gradually.
 const RETURN_PENALTY: f64 = 6.0;
@@ -46,12 +46,12 @@
 
 /// Properties of an attempt that constrain the choice of its server.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct SendWish {
+pub struct SendConstraints {
     /// Priority of the request; 0 is the most urgent.
-    pub rank: u8,
+    pub priority: u8,
     /// Only servers without a rate limit are eligible. Set for a hedged attempt, which would take a permit from
     /// another request, and for a request that several servers refused for lack of a permit.
-    pub needs_no_permit: bool,
+    pub unlimited_only: bool,
 }
 
 /// Where to send the next attempt of a plain request.
@@ -69,7 +69,7 @@
 
 /// State of every backend server that this host may send to.
 #[derive(Debug)]
-pub struct BackendBook {
+pub struct BackendRegistry {
     pub(super) views: BTreeMap<FastStr, BackendView>,
     next_call: u64,
     // When the loads of other hosts were last received.
@@ -82,7 +82,7 @@
     pub availability: AvailabilityBook,
 }
 
-impl Default for BackendBook {
+impl Default for BackendRegistry {
     fn default() -> Self {
         Self {
             views: BTreeMap::new(),
@@ -95,7 +95,7 @@
     }
 }
 
-impl BackendBook {
+impl BackendRegistry {
     /// Replaces the list of backend servers, keeps the state of those that stay and returns the differences.
     pub fn set_backends(&mut self, backends: Vec<BackendInfo>) -> BackendChanges {
         let mut changes = BackendChanges::default();
@@ -153,7 +153,7 @@
     }
 
     /// Whether the server has restarted since this run: a later one is listed under the same id.
-    pub fn has_begun_anew(&self, backend: &BackendInfo) -> bool {
+    pub fn has_restarted(&self, backend: &BackendInfo) -> bool {
         self.view(&backend.id)
             .is_some_and(|view| view.info.born > backend.born)
     }
@@ -201,16 +201,16 @@
         service: &str,
         zone: &str,
         tried: &[FastStr],
-        wish: SendWish,
+        constraints: SendConstraints,
         now: Duration,
     ) -> PlainChoice {
         let mut ranked = self.rank_plain(service, zone, tried, now);
         let mut wait = None;
         ranked.retain(|info| {
             let server = info.key();
-            match self.limits.permit(server, wish.rank, now) {
+            match self.limits.permit(server, constraints.priority, now) {
                 PermitState::Free => true,
-                PermitState::Held | PermitState::Ask => !wish.needs_no_permit,
+                PermitState::Held | PermitState::Ask => !constraints.unlimited_only,
                 PermitState::Empty(time) => {
                     wait = Some(PermitWait::least(wait, PermitWait { server, time }));
                     false
@@ -234,13 +234,13 @@
     }
 
     /// The rate-limited servers of a service that have no permit left for a request of this priority.
-    pub fn without_permit(&self, service: &str, rank: u8, now: Duration) -> Vec<FastStr> {
+    pub fn without_permit(&self, service: &str, priority: u8, now: Duration) -> Vec<FastStr> {
         if self.limits.is_empty() {
             return Vec::new();
         }
         let is_empty = |view: &&BackendView| {
             matches!(
-                self.limits.permit(view.key, rank, now),
+                self.limits.permit(view.key, priority, now),
                 PermitState::Empty(_)
             )
         };
@@ -251,18 +251,18 @@
     /// The load of this host's own requests per engine, and the backend servers that it has ejected.
     pub fn loads(&self, now: Duration) -> Vec<EngineLoad> {
         let views = self.views.values();
-        let told =
-            views.filter(|view| view.memory_tokens + view.prefill_tokens > 0 || view.is_out(now));
+        let told = views
+            .filter(|view| view.memory_tokens + view.prefill_tokens > 0 || view.is_ejected(now));
         told.map(|view| EngineLoad {
             engine: view.key,
             memory_tokens: view.memory_tokens,
-            passed_over: u32::from(view.is_out(now)),
+            passed_over: u32::from(view.is_ejected(now)),
         })
         .collect()
     }
 
     /// Sets the loads of all other hosts; a server that is not listed counts as idle.
-    pub fn set_others(&mut self, loads: &[EngineLoad], now: Duration) {
+    pub fn set_peer_loads(&mut self, loads: &[EngineLoad], now: Duration) {
         let told: BTreeMap<EngineKey, &EngineLoad> =
             loads.iter().map(|load| (load.engine, load)).collect();
         for view in self.views.values_mut() {
@@ -275,7 +275,7 @@
 
     fn has_peer_loads(&self, now: Duration) -> bool {
         let told = self.peer_loads_at;
-        told.is_some_and(|at| now.saturating_sub(at) < OTHERS_LIFE)
+        told.is_some_and(|at| now.saturating_sub(at) < PEER_LOAD_TTL)
     }
 
     /// Memory in use at an engine, in tokens, by requests of this host and, if reported recently, of others.
@@ -291,7 +291,7 @@
     /// Whether a backend server is ejected by this host or by enough others, or is being probed after an ejection.
     pub(super) fn is_avoided(&self, view: &BackendView, now: Duration) -> bool {
         let peers_do = self.has_peer_loads(now) && view.peer_ejections >= PEER_EJECTIONS_TO_AVOID;
-        view.is_out(now) || view.is_on_trial() || peers_do
+        view.is_ejected(now) || view.is_probing() || peers_do
     }
 
     pub(super) fn usable<'a>(
@@ -306,7 +306,7 @@
 
     /// Records a request in flight and returns its number, which `call_ended` takes. `is_suspected` marks a request
     /// that servers have crashed under before.
-    pub fn call_began(&mut self, id: &str, is_suspected: bool, now: Duration) -> u64 {
+    pub fn call_started(&mut self, id: &str, is_suspected: bool, now: Duration) -> u64 {
         self.next_call += 1;
         if let Some(view) = self.views.get_mut(id) {
             view.calls.insert(self.next_call, now);
@@ -326,7 +326,7 @@
     }
 
     /// Records a response. Any response resets the count of consecutive failures; a good one also ends the ejection.
-    pub fn answered(&mut self, id: &str, is_good: bool) {
+    pub fn note_response(&mut self, id: &str, is_good: bool) {
         if let Some(view) = self.views.get_mut(id) {
             let failed = f64::from(u8::from(!is_good));
             view.error_rate += ERROR_WEIGHT * (failed - view.error_rate);
@@ -339,7 +339,7 @@
     }
 
     /// Records a failed connection or a timeout and returns whether this ejects the backend server.
-    pub fn failed(&mut self, id: &str, failure: BackendFailure, now: Duration) -> bool {
+    pub fn note_failure(&mut self, id: &str, failure: BackendFailure, now: Duration) -> bool {
         let Some(view) = self.views.get_mut(id) else {
             return false;
         };
@@ -353,7 +353,7 @@
         if view.failures >= FAILURES_TO_EJECT && !was_failing {
             view.failing_since = now;
         }
-        if view.failures < FAILURES_TO_EJECT || view.is_out(now) {
+        if view.failures < FAILURES_TO_EJECT || view.is_ejected(now) {
             return false;
         }
         view.ejected_until = now + view.ejection_time;
@@ -363,7 +363,7 @@
 
     /// Records that a plain server rejected a request. A server that rejects at once has few requests in flight and
     /// would otherwise look idle and attract more.
-    pub fn turned_away(&mut self, id: &str, now: Duration) {
+    pub fn note_rejection(&mut self, id: &str, now: Duration) {
         if let Some(view) = self.views.get_mut(id) {
             view.note_rejection(now);
         }
@@ -371,28 +371,28 @@
 
     /// Records that an engine declined its stage of a request or that its result was unusable: it may be changing its
     /// role, or its KV caches may expire too soon.
-    pub fn declined(&mut self, id: &str, now: Duration) {
+    pub fn note_declined(&mut self, id: &str, now: Duration) {
         if let Some(view) = self.views.get_mut(id) {
             view.declines_until = now + DECLINE_TIME;
         }
     }
 
     /// Records that an engine had no memory for this many tokens.
-    pub fn refused(&mut self, id: &str, tokens: u64, now: Duration) {
+    pub fn note_out_of_memory(&mut self, id: &str, tokens: u64, now: Duration) {
         if let Some(view) = self.views.get_mut(id) {
             view.refused = Some((now + REFUSED_TIME, tokens));
         }
     }
 
     /// Records that a request of this host reserved memory at an engine.
-    pub fn memory_taken(&mut self, id: &str, tokens: u64) {
+    pub fn memory_reserved(&mut self, id: &str, tokens: u64) {
         if let Some(view) = self.views.get_mut(id) {
             view.memory_tokens += tokens;
         }
     }
 
     /// Records that a request of this host released memory at an engine.
-    pub fn memory_freed(&mut self, id: &str, tokens: u64) {
+    pub fn memory_released(&mut self, id: &str, tokens: u64) {
         if let Some(view) = self.views.get_mut(id) {
             view.memory_tokens = view.memory_tokens.saturating_sub(tokens);
             view.refused = None;
@@ -400,7 +400,7 @@
     }
 
     /// Records a prefill of this many tokens in flight.
-    pub fn prefill_began(&mut self, id: &str, tokens: u64) {
+    pub fn prefill_started(&mut self, id: &str, tokens: u64) {
         if let Some(view) = self.views.get_mut(id) {
             view.prefill_tokens += tokens;
         }
--- a/src/relay/policy/engines.rs
+++ b/src/relay/policy/engines.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        book::{self, BackendBook},
+        book::{self, BackendRegistry},
         limit_book::{PermitState, PermitWait},
         view::BackendView,
     },
@@ -32,7 +32,7 @@
 /// The same penalty for a prefill engine, in seconds of delay.
 const RETURN_DELAY: f64 = 0.12;
 
-impl BackendBook {
+impl BackendRegistry {
     /// The decode engines expected to have memory for a request, best first. Engines that run no suspect request of
     /// this host come first, then those of its own zone, then its preferred ones, then the least loaded. `memory` is
     /// an engine's capacity in tokens.
@@ -87,11 +87,11 @@
 
     /// The shortest wait for a permit at a decode engine, for a request of this priority. `None` if some engine can
     /// take the request without waiting, or if none may take requests at all.
-    pub fn decode_wait(&self, service: &str, rank: u8, now: Duration) -> Option<PermitWait> {
+    pub fn decode_wait(&self, service: &str, priority: u8, now: Duration) -> Option<PermitWait> {
         let mut least = None;
         for view in self.engines(service, EngineRole::Decode, now) {
             let server = view.key;
-            let PermitState::Empty(time) = self.limits.permit(server, rank, now) else {
+            let PermitState::Empty(time) = self.limits.permit(server, priority, now) else {
                 return None;
             };
             least = Some(PermitWait::least(least, PermitWait { server, time }));
--- a/src/relay/policy/room.rs
+++ b/src/relay/policy/room.rs
@@ -1,7 +1,7 @@
 //! Summary of why decode engines could not take a request, for the refusal's message.
 
 use {
-    super::{book::BackendBook, view::BackendView},
+    super::{book::BackendRegistry, view::BackendView},
     crate::engine::EngineRole,
     std::{fmt, time::Duration},
 };
@@ -44,7 +44,7 @@
 impl DecodeRoom {
     /// Counts the engines for a request of this many tokens; `memory` is an engine's capacity in tokens.
     pub fn of(
-        book: &BackendBook,
+        book: &BackendRegistry,
         service: &str,
         tokens: u64,
         memory: Option<u64>,
--- a/src/relay/policy/rotation.rs
+++ b/src/relay/policy/rotation.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         availability::{ServerAvailability, ServerRun},
-        book::BackendBook,
+        book::BackendRegistry,
         view::BackendView,
     },
     crate::{engine::EngineRole, relay::backend::BackendInfo},
@@ -19,7 +19,7 @@
     NoneReturns,
 }
 
-impl BackendBook {
+impl BackendRegistry {
     /// Whether a server is leaving, by the list or by its answers.
     pub fn is_leaving(&self, view: &BackendView, now: Duration) -> bool {
         view.info.leaving || self.availability.is_leaving(&view.run, now)
--- a/src/relay/policy/view.rs
+++ b/src/relay/policy/view.rs
@@ -125,12 +125,12 @@
     }
 
     /// Whether this host has ejected the server.
-    pub fn is_out(&self, now: Duration) -> bool {
+    pub fn is_ejected(&self, now: Duration) -> bool {
         now < self.ejected_until
     }
 
     /// Whether a request sent after the ejection expired probes the server: no other is sent until it responds.
-    pub fn is_on_trial(&self) -> bool {
+    pub fn is_probing(&self) -> bool {
         let mut sent = self.calls.values();
         self.failures >= FAILURES_TO_EJECT && sent.any(|sent| *sent >= self.ejected_until)
     }
--- a/src/relay/request/decode.rs
+++ b/src/relay/request/decode.rs
@@ -83,7 +83,7 @@
             cache.taken();
         }
         let is_good = !answer.status.is_server_error();
-        parts.book.borrow_mut().answered(&engine.id, is_good);
+        parts.book.borrow_mut().note_response(&engine.id, is_good);
         Ok(answer)
     }
 
@@ -101,7 +101,7 @@
         if self.parts.may_send(engine, None) {
             let blamed = cache.as_ref().map_or(engine, |cache| &cache.engine);
             let now = self.parts.now();
-            self.parts.book.borrow_mut().declined(&blamed.id, now);
+            self.parts.book.borrow_mut().note_declined(&blamed.id, now);
             self.skip_prefill = cache.is_some();
         }
         // Read to its end, so that the connection can be used again.
--- a/src/relay/request/guard.rs
+++ b/src/relay/request/guard.rs
@@ -36,7 +36,7 @@
         let call = parts
             .book
             .borrow_mut()
-            .call_began(&backend.id, is_suspected, now);
+            .call_started(&backend.id, is_suspected, now);
         Self {
             parts: parts.clone(),
             backend: Box::new(backend.clone()),
--- a/src/relay/request/plain.rs
+++ b/src/relay/request/plain.rs
@@ -16,7 +16,7 @@
             backend::BackendInfo,
             parts::{permits::ServerPermit, shared::RelayParts},
             policy::{
-                book::{PlainChoice, SendWish},
+                book::{PlainChoice, SendConstraints},
                 limit_book::PermitWait,
                 view::BackendFailure,
             },
@@ -219,19 +219,19 @@
     // The best server not tried yet that has a permit for the request, if it is rate-limited. Those that deny one do not
     // stand before one that is not rate-limited.
     async fn next_server(&mut self, is_hedge: bool) -> Option<(BackendInfo, ServerPermit)> {
-        let rank = self.call.priority();
+        let priority = self.call.priority();
         for asked in 0..=PERMIT_REQUESTS {
             let checked = judge::check_send(&self.parts, &self.call, &self.service, self.verdict);
             if let Err(refusal) = checked {
                 self.refused = Some(refusal);
                 return None;
             }
-            let needs_no_permit = is_hedge || asked == PERMIT_REQUESTS;
-            let backend = self.choose(SendWish {
-                rank,
-                needs_no_permit,
+            let unlimited_only = is_hedge || asked == PERMIT_REQUESTS;
+            let backend = self.choose(SendConstraints {
+                priority,
+                unlimited_only,
             })?;
-            match self.parts.take_permit(&backend, rank).await {
+            match self.parts.take_permit(&backend, priority).await {
                 Ok(permit) if self.parts.may_send(&backend, None) => {
                     return Some((backend, permit));
                 }
@@ -243,11 +243,11 @@
         None
     }
 
-    fn choose(&mut self, wish: SendWish) -> Option<BackendInfo> {
+    fn choose(&mut self, constraints: SendConstraints) -> Option<BackendInfo> {
         let now = self.parts.now();
         let zone = &self.parts.settings.zone;
         let book = self.parts.book.borrow();
-        let choice = book.choose_plain(&self.service, zone, &self.tried, wish, now);
+        let choice = book.choose_plain(&self.service, zone, &self.tried, constraints, now);
         drop(book);
         match choice {
             PlainChoice::Send(backend) => return Some(backend),
@@ -298,7 +298,10 @@
             SendOutcome::Answered(answer) => {
                 self.note_step(backend, answer.status.as_str());
                 let is_good = !answer.status.is_server_error();
-                self.parts.book.borrow_mut().answered(&backend.id, is_good);
+                self.parts
+                    .book
+                    .borrow_mut()
+                    .note_response(&backend.id, is_good);
                 if is_good && matches!(answer.body, PlainBody::Whole(_)) {
                     self.parts.note_good_run(|| self.call.digest());
                 }
--- a/src/relay/request/prefill.rs
+++ b/src/relay/request/prefill.rs
@@ -77,7 +77,7 @@
 
 impl PrefillLoad {
     fn begin(parts: &Rc<RelayParts>, engine: &BackendInfo, tokens: u64) -> Self {
-        parts.book.borrow_mut().prefill_began(&engine.id, tokens);
+        parts.book.borrow_mut().prefill_started(&engine.id, tokens);
         Self {
             parts: parts.clone(),
             engine: engine.clone(),
@@ -143,7 +143,7 @@
         Ok(cache) => {
             let now = parts.now();
             let mut book = parts.book.borrow_mut();
-            book.answered(&engine.id, true);
+            book.note_response(&engine.id, true);
             parts
                 .metrics
                 .computed(&call.route, now.saturating_sub(began));
@@ -202,7 +202,10 @@
         parts.note_decline(engine, status);
         // A backoff says nothing of the time after it.
         if parts.may_send(engine, None) {
-            parts.book.borrow_mut().declined(&engine.id, parts.now());
+            parts
+                .book
+                .borrow_mut()
+                .note_declined(&engine.id, parts.now());
         }
         return Err(PrefillFailure {
             verdict: RunVerdict::NotRun,
--- a/src/relay/request/reserve.rs
+++ b/src/relay/request/reserve.rs
@@ -74,8 +74,8 @@
     fn new(hold: EngineHold, permit: ServerPermit, tokens: u64) -> Self {
         let (parts, engine) = (hold.parts.clone(), hold.engine.clone());
         let mut book = parts.book.borrow_mut();
-        book.answered(&engine.id, true);
-        book.memory_taken(&engine.id, tokens);
+        book.note_response(&engine.id, true);
+        book.memory_reserved(&engine.id, tokens);
         drop(book);
         Self {
             reserved_at: parts.now(),
@@ -100,7 +100,7 @@
     fn drop(&mut self) {
         let mut book = self.parts.book.borrow_mut();
         if book.is_current(&self.engine) {
-            book.memory_freed(&self.engine.id, self.tokens);
+            book.memory_released(&self.engine.id, self.tokens);
         }
         drop(book);
         self.parts.freed.notify_waiters();
@@ -304,7 +304,7 @@
     };
     if name.is_none() {
         let mut book = parts.book.borrow_mut();
-        book.refused(&engine.id, tokens, parts.now());
+        book.note_out_of_memory(&engine.id, tokens, parts.now());
         return None;
     }
     Some(EngineHold {
--- a/src/relay/request/send.rs
+++ b/src/relay/request/send.rs
@@ -114,7 +114,7 @@
     if not_run {
         parts.note_decline(backend, status);
         let now = parts.now();
-        parts.book.borrow_mut().turned_away(&backend.id, now);
+        parts.book.borrow_mut().note_rejection(&backend.id, now);
         return SendOutcome::Declined(format!("status {status}"));
     }
     SendOutcome::Answered(Box::new(PlainAnswer {
--- a/tests/relay_crash_innocents.rs
+++ b/tests/relay_crash_innocents.rs
@@ -9,7 +9,7 @@
     bayplank::{
         engine::EngineRole,
         relay::{
-            BackendBook, BackendInfo, CachePosition, CrashBook, CrashJudgement, EngineKey,
+            BackendInfo, BackendRegistry, CachePosition, CrashBook, CrashJudgement, EngineKey,
             EngineLoad, MarkSource, RequestDigest,
         },
     },
@@ -58,7 +58,7 @@
 }
 
 struct SimHost {
-    book: BackendBook,
+    book: BackendRegistry,
     crashes: CrashBook,
     place: CachePosition,
     told: u64,
@@ -99,7 +99,7 @@
 impl CrashSim {
     fn new(seed: u64) -> Self {
         let hosts = (0..HOSTS).map(|index| SimHost {
-            book: BackendBook::default(),
+            book: BackendRegistry::default(),
             crashes: CrashBook::new(index as u64 + 1),
             place: CachePosition::default(),
             told: 0,
@@ -234,8 +234,8 @@
             return;
         };
         let id = self.engines[engine].info.id.clone();
-        let call = host.book.call_began(&id, is_suspected, now);
-        host.book.memory_taken(&id, TOKENS);
+        let call = host.book.call_started(&id, is_suspected, now);
+        host.book.memory_reserved(&id, TOKENS);
         let length = match request.is_fatal {
             true => self.rng.random_range(20..100),
             false => self.rng.random_range(1_000..5_000),
@@ -256,7 +256,7 @@
         let id = &self.engines[engine].info.id;
         let book = &mut self.hosts[run.host].book;
         book.call_ended(id, run.call);
-        book.memory_freed(id, TOKENS);
+        book.memory_released(id, TOKENS);
     }
 
     fn end_runs(&mut self) {
@@ -342,7 +342,7 @@
                 }
             });
             let others: Vec<EngineLoad> = others.collect();
-            self.hosts[at].book.set_others(&others, now);
+            self.hosts[at].book.set_peer_loads(&others, now);
         }
     }
 }
--- a/tests/relay_decisions.rs
+++ b/tests/relay_decisions.rs
@@ -8,8 +8,8 @@
         engine::EngineRole,
         operation::{Refusal, RefusalCode, RunVerdict},
         relay::{
-            self, BackendBook, BackendFailure, CallerLimits, ClusterState, EventSplitter, LineKey,
-            RelayConfig, RelayRoute, RelayService, RequestKind, RouteTable, ServiceShare,
+            self, BackendFailure, BackendRegistry, CallerLimits, ClusterState, EventSplitter,
+            LineKey, RelayConfig, RelayRoute, RelayService, RequestKind, RouteTable, ServiceShare,
             StoreChange, StoreItem, StoreKind, StoreValue, WaitLine,
         },
         store::StorePosition,
@@ -181,31 +181,31 @@
 
 #[test]
 fn a_server_that_fails_twice_is_ejected_for_a_while_and_then_tried_again() {
-    let mut book = BackendBook::default();
+    let mut book = BackendRegistry::default();
     book.set_backends(vec![backend("w-1", "z", None), backend("w-2", "z", None)]);
-    assert!(!book.failed("w-1", BackendFailure::Broken, millis(0)));
-    assert!(book.failed("w-1", BackendFailure::Broken, millis(1)));
-    let first = |book: &BackendBook, now| book.rank_plain("one", "z", &[], now)[0].id.clone();
+    assert!(!book.note_failure("w-1", BackendFailure::Broken, millis(0)));
+    assert!(book.note_failure("w-1", BackendFailure::Broken, millis(1)));
+    let first = |book: &BackendRegistry, now| book.rank_plain("one", "z", &[], now)[0].id.clone();
     assert_eq!(first(&book, millis(100)), "w-2");
-    assert!(!book.view("w-1").unwrap().is_out(millis(600)));
+    assert!(!book.view("w-1").unwrap().is_ejected(millis(600)));
 }
 
 #[test]
 fn after_its_ejection_a_server_is_probed_by_one_request_at_a_time() {
-    let mut book = BackendBook::default();
+    let mut book = BackendRegistry::default();
     book.set_backends(vec![backend("w-1", "z", None), backend("w-2", "y", None)]);
-    let first = |book: &BackendBook, now| book.rank_plain("one", "z", &[], now)[0].id.clone();
-    let is_probing = |book: &BackendBook| book.view("w-1").unwrap().is_on_trial();
-    let old = book.call_began("w-1", false, millis(0));
-    book.failed("w-1", BackendFailure::Silent, millis(1));
+    let first = |book: &BackendRegistry, now| book.rank_plain("one", "z", &[], now)[0].id.clone();
+    let is_probing = |book: &BackendRegistry| book.view("w-1").unwrap().is_probing();
+    let old = book.call_started("w-1", false, millis(0));
+    book.note_failure("w-1", BackendFailure::Silent, millis(1));
     assert!(!is_probing(&book), "an earlier request is no probe");
     book.call_ended("w-1", old);
     assert_eq!(first(&book, millis(100)), "w-2");
     assert_eq!(first(&book, millis(600)), "w-1");
-    let probe = book.call_began("w-1", false, millis(600));
+    let probe = book.call_started("w-1", false, millis(600));
     assert!(is_probing(&book));
     assert_eq!(first(&book, millis(601)), "w-2");
-    book.answered("w-1", true);
+    book.note_response("w-1", true);
     book.call_ended("w-1", probe);
     assert!(!is_probing(&book));
     assert_eq!(first(&book, millis(620)), "w-1");
@@ -213,19 +213,19 @@
 
 #[test]
 fn a_server_is_ejected_after_a_single_timeout() {
-    let mut book = BackendBook::default();
+    let mut book = BackendRegistry::default();
     book.set_backends(vec![backend("w-1", "z", None)]);
-    assert!(book.failed("w-1", BackendFailure::Silent, millis(0)));
+    assert!(book.note_failure("w-1", BackendFailure::Silent, millis(0)));
 }
 
 #[test]
 fn plain_requests_prefer_the_own_zone_until_it_is_busier() {
-    let mut book = BackendBook::default();
+    let mut book = BackendRegistry::default();
     book.set_backends(vec![backend("near", "z", None), backend("far", "y", None)]);
-    let first = |book: &BackendBook| book.rank_plain("one", "z", &[], millis(1))[0].id.clone();
+    let first = |book: &BackendRegistry| book.rank_plain("one", "z", &[], millis(1))[0].id.clone();
     assert_eq!(first(&book), "near");
     let calls: Vec<u64> = (0..3)
-        .map(|_| book.call_began("near", false, millis(1)))
+        .map(|_| book.call_started("near", false, millis(1)))
         .collect();
     assert_eq!(first(&book), "far");
     calls
@@ -236,9 +236,9 @@
 
 #[test]
 fn a_server_with_a_long_unanswered_request_is_avoided() {
-    let mut book = BackendBook::default();
+    let mut book = BackendRegistry::default();
     book.set_backends(vec![backend("near", "z", None), backend("far", "y", None)]);
-    book.call_began("near", false, millis(0));
+    book.call_started("near", false, millis(0));
     let first = |now| book.rank_plain("one", "z", &[], now)[0].id.clone();
     assert_eq!(first(millis(100)), "near");
     assert_eq!(first(millis(300)), "far");
@@ -246,9 +246,9 @@
 
 #[test]
 fn an_engine_without_memory_is_not_asked_for_as_much_right_away() {
-    let mut book = BackendBook::default();
+    let mut book = BackendRegistry::default();
     book.set_backends(vec![backend("d-1", "z", Some(EngineRole::Decode))]);
-    book.refused("d-1", 3_000, millis(0));
+    book.note_out_of_memory("d-1", 3_000, millis(0));
     let count = |tokens, now| book.rank_decodes("one", "z", tokens, None, now).len();
     assert_eq!(count(3_000, millis(10)), 0);
     assert_eq!(count(1_000, millis(10)), 1);
@@ -258,15 +258,15 @@
 #[test]
 fn memory_counts_return_to_zero() {
     check!().with_type::<Vec<(bool, u16)>>().for_each(|steps| {
-        let mut book = BackendBook::default();
+        let mut book = BackendRegistry::default();
         book.set_backends(vec![backend("d-1", "z", Some(EngineRole::Decode))]);
         let mut open = Vec::new();
         for (takes, tokens) in steps {
             if *takes {
-                book.memory_taken("d-1", u64::from(*tokens));
+                book.memory_reserved("d-1", u64::from(*tokens));
                 open.push(u64::from(*tokens));
             } else if let Some(tokens) = open.pop() {
-                book.memory_freed("d-1", tokens);
+                book.memory_released("d-1", tokens);
             }
             let counted = book.view("d-1").unwrap().memory_tokens();
             assert_eq!(counted, open.iter().sum::<u64>());
@@ -276,19 +276,19 @@
 
 #[test]
 fn an_engine_that_declines_is_skipped_for_a_while() {
-    let mut book = BackendBook::default();
+    let mut book = BackendRegistry::default();
     book.set_backends(vec![backend("p-1", "z", Some(EngineRole::Prefill))]);
-    book.declined("p-1", millis(0));
+    book.note_declined("p-1", millis(0));
     assert!(book.best_prefill("one", "z", &[], millis(1_000)).is_none());
     assert!(book.best_prefill("one", "z", &[], millis(2_000)).is_some());
 }
 
 #[test]
 fn an_idle_prefill_engine_of_another_zone_is_preferred_to_a_busy_one() {
-    let mut book = BackendBook::default();
+    let mut book = BackendRegistry::default();
     let role = Some(EngineRole::Prefill);
     book.set_backends(vec![backend("near", "z", role), backend("far", "y", role)]);
-    let best = |book: &BackendBook, now| book.best_prefill("one", "z", &[], now).unwrap().0.id;
+    let best = |book: &BackendRegistry, now| book.best_prefill("one", "z", &[], now).unwrap().0.id;
     assert_eq!(best(&book, millis(0)), "near");
     book.prefill_observed("near", 2_000, millis(700), millis(1_000));
     assert_eq!(best(&book, millis(1_010)), "far");
@@ -372,7 +372,7 @@
 
 #[test]
 fn a_refusal_for_lack_of_memory_counts_the_engines_by_reason() {
-    let mut book = BackendBook::default();
+    let mut book = BackendRegistry::default();
     let decode = |id: &str| backend(id, "a", Some(EngineRole::Decode));
     let engines = ["e-1", "e-2", "e-3", "e-4", "e-5", "e-6"].map(decode);
     book.set_backends(engines.to_vec());
@@ -382,10 +382,10 @@
         ..relay::ServerMarks::default()
     };
     book.availability.note(&engines[5].run(), &marks, now);
-    book.failed("e-1", BackendFailure::Silent, now);
-    book.declined("e-2", now);
-    book.memory_taken("e-3", 40_000);
-    book.refused("e-4", 3_000, now);
+    book.note_failure("e-1", BackendFailure::Silent, now);
+    book.note_declined("e-2", now);
+    book.memory_reserved("e-3", 40_000);
+    book.note_out_of_memory("e-4", 3_000, now);
     let room = relay::DecodeRoom::of(&book, "one", 3_000, Some(30_000), now);
     let expected = relay::DecodeRoom {
         listed: 6,
--- a/tests/relay_limited_choices.rs
+++ b/tests/relay_limited_choices.rs
@@ -7,8 +7,8 @@
     bayplank::{
         engine::EngineRole,
         relay::{
-            BackendBook, BackendFailure, BackendInfo, LimitSaying, PermitGrant, PlainChoice,
-            SendWish, ServerLimit,
+            BackendFailure, BackendInfo, BackendRegistry, LimitSaying, PermitGrant, PlainChoice,
+            SendConstraints, ServerLimit,
         },
     },
     std::time::Duration,
@@ -21,7 +21,7 @@
 }
 
 // It is rate-limited, and no permit is left for so long.
-fn empty(book: &mut BackendBook, server: &BackendInfo, wait: u64) {
+fn empty(book: &mut BackendRegistry, server: &BackendInfo, wait: u64) {
     book.limits.take(server.key(), saying(), NOW);
     let grant = PermitGrant {
         permits: 0,
@@ -31,14 +31,14 @@
     book.limits.take_grant(server.key(), 0, &grant, NOW);
 }
 
-fn book_of(servers: &[BackendInfo]) -> BackendBook {
-    let mut book = BackendBook::default();
+fn book_of(servers: &[BackendInfo]) -> BackendRegistry {
+    let mut book = BackendRegistry::default();
     book.set_backends(servers.to_vec());
     book
 }
 
-fn choose(book: &BackendBook) -> PlainChoice {
-    book.choose_plain("one", "z", &[], SendWish::default(), NOW)
+fn choose(book: &BackendRegistry) -> PlainChoice {
+    book.choose_plain("one", "z", &[], SendConstraints::default(), NOW)
 }
 
 #[test]
@@ -54,7 +54,7 @@
     assert_eq!(choose(&book), PlainChoice::Send(servers[2].clone()));
     // The rate-limited one is next.
     let tried = [servers[2].id.clone()];
-    let next = book.choose_plain("one", "z", &tried, SendWish::default(), NOW);
+    let next = book.choose_plain("one", "z", &tried, SendConstraints::default(), NOW);
     assert_eq!(next, PlainChoice::Send(servers[1].clone()));
 }
 
@@ -87,7 +87,7 @@
     let servers = [backend("a", "z", None), backend("b", "z", None)];
     let mut book = book_of(&servers);
     book.limits.take(servers[0].key(), saying(), NOW);
-    book.failed("a", BackendFailure::Silent, NOW);
+    book.note_failure("a", BackendFailure::Silent, NOW);
     assert_eq!(choose(&book), PlainChoice::Send(servers[1].clone()));
 }
 
--- a/tests/relay_loads.rs
+++ b/tests/relay_loads.rs
@@ -6,7 +6,7 @@
     bayplank::{
         engine::EngineRole,
         relay::{
-            self, BackendBook, BackendFailure, BackendInfo, EngineKey, EngineLoad, LoadBoard,
+            self, BackendFailure, BackendInfo, BackendRegistry, EngineKey, EngineLoad, LoadBoard,
             LoadReport, LoadReporter, ServiceDemand,
         },
     },
@@ -149,19 +149,19 @@
 #[test]
 fn a_server_ejected_by_two_other_hosts_is_avoided_while_they_report_it() {
     let mut board = LoadBoard::default();
-    let mut failing = BackendBook::default();
+    let mut failing = BackendRegistry::default();
     failing.set_backends(vec![backend("s-1", false), backend("s-2", false)]);
     for _ in 0..2 {
-        failing.failed("s-1", BackendFailure::Broken, millis(0));
+        failing.note_failure("s-1", BackendFailure::Broken, millis(0));
     }
     let reports = failing.loads(millis(10));
-    let mut book = BackendBook::default();
+    let mut book = BackendRegistry::default();
     book.set_backends(vec![backend("s-1", false), backend("s-2", false)]);
-    book.call_began("s-2", false, millis(0));
-    let first = |book: &BackendBook, now| book.rank_plain("one", "z-a", &[], now)[0].id.clone();
+    book.call_started("s-2", false, millis(0));
+    let first = |book: &BackendRegistry, now| book.rank_plain("one", "z-a", &[], now)[0].id.clone();
     for (host, expected) in [("h-1", "s-1"), ("h-2", "s-2")] {
         board.take(by_host(host), report(reports.clone()), millis(10));
-        book.set_others(
+        book.set_peer_loads(
             &board.others_of(&"h-3".into(), millis(20)).loads,
             millis(20),
         );
@@ -177,23 +177,23 @@
 
 #[test]
 fn engines_that_others_fill_are_avoided_until_the_reports_expire() {
-    let mut book = BackendBook::default();
+    let mut book = BackendRegistry::default();
     let engines = ["e-1", "e-2"].map(|id| BackendInfo {
         role: Some(EngineRole::Decode),
         ..backend(id, false)
     });
     book.set_backends(engines.to_vec());
-    let ranked = |book: &BackendBook, now| {
+    let ranked = |book: &BackendRegistry, now| {
         let engines = book.rank_decodes("one", "z-a", 4_000, Some(30_000), now);
         engines
             .into_iter()
             .map(|engine| engine.id)
             .collect::<Vec<_>>()
     };
-    book.set_others(&[load("e-1", 40_000), load("e-2", 20_000)], millis(0));
-    book.memory_taken("e-2", 8_000);
+    book.set_peer_loads(&[load("e-1", 40_000), load("e-2", 20_000)], millis(0));
+    book.memory_reserved("e-2", 8_000);
     assert_eq!(ranked(&book, millis(100)), ["e-2"]);
-    book.memory_taken("e-2", 8_000);
+    book.memory_reserved("e-2", 8_000);
     assert_eq!(ranked(&book, millis(100)), [""; 0]);
     assert_eq!(ranked(&book, millis(5_000)).len(), 2);
 }
@@ -224,13 +224,13 @@
 
 #[test]
 fn the_state_of_a_server_is_dropped_when_it_restarts_under_the_same_id() {
-    let mut book = BackendBook::default();
+    let mut book = BackendRegistry::default();
     let first = backend("e-1", false);
     book.set_backends(vec![first.clone()]);
-    book.memory_taken("e-1", 9_000);
+    book.memory_reserved("e-1", 9_000);
     let at = Duration::from_secs(1);
     for _ in 0..3 {
-        book.failed("e-1", BackendFailure::Silent, at);
+        book.note_failure("e-1", BackendFailure::Silent, at);
     }
     let reported = book.loads(at);
     assert_eq!((reported.len(), reported[0].passed_over), (1, 1));
@@ -243,8 +243,8 @@
     assert!(book.is_current(&again) && !book.is_current(&first));
     assert!(book.loads(at).is_empty(), "nothing is known of the new run");
     // Reports of other hosts about the earlier run do not apply to the new one.
-    book.set_others(&reported, at);
+    book.set_peer_loads(&reported, at);
     assert_eq!(book.view("e-1").unwrap().memory_tokens(), 0);
-    assert!(!book.view("e-1").unwrap().is_out(at));
+    assert!(!book.view("e-1").unwrap().is_ejected(at));
     assert!(book.set_backends(vec![again]).is_empty());
 }
--- a/tests/server_availability.rs
+++ b/tests/server_availability.rs
@@ -7,8 +7,9 @@
     bayplank::{
         engine::EngineRole,
         relay::{
-            BACKOFF_LONGEST, BackendBook, BackendFailure, BackendInfo, BackoffMark, LeavingMark,
-            LimitMark, LimitSaying, PlainChoice, RotationWait, SendWish, ServerLimit, ServerMarks,
+            BACKOFF_LONGEST, BackendFailure, BackendInfo, BackendRegistry, BackoffMark,
+            LeavingMark, LimitMark, LimitSaying, PlainChoice, RotationWait, SendConstraints,
+            ServerLimit, ServerMarks,
         },
     },
     bolero::{TypeGenerator, check},
@@ -72,7 +73,7 @@
 fn a_server_is_not_lost_for_good_by_one_huge_backoff() {
     let mark = read_backoff(&["1000000000"]);
     assert_eq!(mark, BackoffMark::Lasting(BACKOFF_LONGEST));
-    let mut book = BackendBook::default();
+    let mut book = BackendRegistry::default();
     let server = backend("a", "z", None);
     book.set_backends(vec![server.clone()]);
     book.availability
@@ -97,13 +98,13 @@
     Some(BackoffMark::Lasting(millis(time)))
 }
 
-fn choose(book: &BackendBook, now: Duration) -> PlainChoice {
-    book.choose_plain("one", "z", &[], SendWish::default(), now)
+fn choose(book: &BackendRegistry, now: Duration) -> PlainChoice {
+    book.choose_plain("one", "z", &[], SendConstraints::default(), now)
 }
 
 #[test]
 fn of_several_backoffs_the_last_to_end_holds() {
-    let mut book = BackendBook::default();
+    let mut book = BackendRegistry::default();
     let server = backend("a", "z", None);
     book.set_backends(vec![server.clone()]);
     let run = server.run();
@@ -118,7 +119,7 @@
 
 #[test]
 fn a_backoff_counts_as_no_failure() {
-    let mut book = BackendBook::default();
+    let mut book = BackendRegistry::default();
     let server = backend("a", "z", None);
     book.set_backends(vec![server.clone()]);
     for moment in 0..20 {
@@ -126,25 +127,25 @@
         book.availability
             .note(&server.run(), &mark, millis(moment * 10));
     }
-    assert!(!book.view("a").unwrap().is_out(millis(200)));
+    assert!(!book.view("a").unwrap().is_ejected(millis(200)));
     assert_eq!(choose(&book, millis(290)), PlainChoice::Send(server));
 }
 
 #[test]
 fn work_comes_back_step_by_step_after_a_backoff() {
-    let mut book = BackendBook::default();
+    let mut book = BackendRegistry::default();
     let [back, other] = ["a", "b"].map(|id| backend(id, "z", None));
     book.set_backends(vec![back.clone(), other.clone()]);
     book.availability
         .note(&back.run(), &marks(false, lasting(1_000)), millis(0));
-    book.call_began("b", false, millis(1_000));
+    book.call_started("b", false, millis(1_000));
     assert_eq!(choose(&book, millis(1_001)), PlainChoice::Send(other));
     assert_eq!(choose(&book, millis(1_990)), PlainChoice::Send(back));
 }
 
 #[test]
 fn a_send_whose_memory_was_reserved_before_the_word_goes_out_for_a_moment() {
-    let mut book = BackendBook::default();
+    let mut book = BackendRegistry::default();
     let server = backend("a", "z", Some(EngineRole::Decode));
     book.set_backends(vec![server.clone()]);
     book.availability
@@ -158,7 +159,7 @@
 
 #[test]
 fn a_later_run_of_a_leaving_server_starts_clean() {
-    let mut book = BackendBook::default();
+    let mut book = BackendRegistry::default();
     let before = BackendInfo {
         born: 5,
         ..backend("a", "z", None)
@@ -174,7 +175,7 @@
 
 #[test]
 fn an_entry_that_lapses_and_comes_back_is_the_same_leaving_run() {
-    let mut book = BackendBook::default();
+    let mut book = BackendRegistry::default();
     let server = BackendInfo {
         born: 5,
         ..backend("a", "z", None)
@@ -190,7 +191,7 @@
 
 #[test]
 fn what_is_known_of_gone_servers_is_evicted() {
-    let mut book = BackendBook::default();
+    let mut book = BackendRegistry::default();
     for number in 0..1_000 {
         let server = backend(&format!("s-{number}"), "z", None);
         book.availability
@@ -203,7 +204,7 @@
 #[test]
 fn a_rate_limited_server_that_backs_off_or_leaves_is_asked_for_no_permit() {
     for said in [marks(true, None), marks(false, lasting(500))] {
-        let mut book = BackendBook::default();
+        let mut book = BackendRegistry::default();
         let server = backend("a", "z", None);
         book.set_backends(vec![server.clone()]);
         let limit = LimitSaying::told(ServerLimit::new(3.0), millis(0), millis(0));
@@ -253,7 +254,7 @@
 
 /// A book, and what it should hold.
 struct CheckedBook {
-    book: BackendBook,
+    book: BackendRegistry,
     now: u64,
     born: [u64; SERVERS],
     listed: (u8, u8),
@@ -263,7 +264,7 @@
 impl CheckedBook {
     fn new() -> Self {
         let mut checked = Self {
-            book: BackendBook::default(),
+            book: BackendRegistry::default(),
             now: 1,
             born: [1; SERVERS],
             listed: (31, 0),
@@ -326,19 +327,19 @@
             }
             BookMoment::Fails(server) => {
                 let id = self.info(index(server)).id;
-                self.book.failed(&id, BackendFailure::Silent, now);
+                self.book.note_failure(&id, BackendFailure::Silent, now);
             }
             BookMoment::Answers(server) => {
                 let id = self.info(index(server)).id;
-                self.book.answered(&id, true);
+                self.book.note_response(&id, true);
             }
             BookMoment::TurnsAway(server) => {
                 let id = self.info(index(server)).id;
-                self.book.turned_away(&id, now);
+                self.book.note_rejection(&id, now);
             }
             BookMoment::Declines(server) => {
                 let id = self.info(index(server)).id;
-                self.book.declined(&id, now);
+                self.book.note_declined(&id, now);
             }
             BookMoment::Evicts => drop(self.book.evict_availability(now)),
             BookMoment::Decodes {
