--- a/src/relay/news/message.rs
+++ b/src/relay/news/message.rs
@@ -306,10 +306,10 @@
         place.set_key(load.engine.0);
         let blocks = load.memory_tokens.div_ceil(BLOCK_TOKENS);
         place.set_memory_blocks(u16::try_from(blocks).unwrap_or(u16::MAX));
-        place.set_passed_over(u16::try_from(load.passed_over).unwrap_or(u16::MAX));
+        place.set_passed_over(u16::try_from(load.ejected_by).unwrap_or(u16::MAX));
     }
-    let mut wanted = to.reborrow().init_wanted(report.wanted.len() as u32);
-    for (index, key) in report.wanted.iter().enumerate() {
+    let mut wanted = to.reborrow().init_wanted(report.requested.len() as u32);
+    for (index, key) in report.requested.iter().enumerate() {
         wanted.set(index as u32, key.0);
     }
     to.set_is_store_lost(report.is_store_lost);
@@ -319,7 +319,7 @@
         let mut place = demands.reborrow().get(index as u32);
         place.set_service(demand.service.as_str());
         place.set_requests(u32::try_from(demand.requests).unwrap_or(u32::MAX));
-        place.set_repeats(u32::try_from(demand.repeats).unwrap_or(u32::MAX));
+        place.set_repeats(u32::try_from(demand.retries).unwrap_or(u32::MAX));
     }
 }
 
@@ -395,19 +395,19 @@
     let loads = from.get_loads()?.iter().map(|load| EngineLoad {
         engine: EngineKey(load.get_key()),
         memory_tokens: u64::from(load.get_memory_blocks()) * BLOCK_TOKENS,
-        passed_over: u32::from(load.get_passed_over()),
+        ejected_by: u32::from(load.get_passed_over()),
     });
     let demands = from.get_demands()?.iter().map(|demand| {
         Ok(ServiceDemand {
             service: FastStr::new(demand.get_service()?.to_str()?),
             requests: u64::from(demand.get_requests()),
-            repeats: u64::from(demand.get_repeats()),
+            retries: u64::from(demand.get_repeats()),
         })
     });
     Ok(LoadReport {
         loads: loads.collect(),
         demands: demands.collect::<Result<_>>()?,
-        wanted: from.get_wanted()?.iter().map(EngineKey).collect(),
+        requested: from.get_wanted()?.iter().map(EngineKey).collect(),
         accounts: read_uses(from)?,
         is_store_lost: from.get_is_store_lost(),
     })
--- a/src/relay/news/share.rs
+++ b/src/relay/news/share.rs
@@ -7,7 +7,7 @@
         relay::{
             link::HostEntry,
             parts::shared::RelayParts,
-            policy::loads::{LoadBoard, LoadReport, LoadReporter},
+            policy::loads::{LoadAggregator, LoadReport, LoadReporter},
             vital,
         },
     },
@@ -44,7 +44,7 @@
     parts: Rc<RelayParts>,
     follower: Rc<NewsFollower>,
     links: Rc<NewsLinks>,
-    board: RefCell<LoadBoard>,
+    board: RefCell<LoadAggregator>,
     targets: ZoneTargets,
 }
 
@@ -82,10 +82,10 @@
         let now = self.parts.now();
         let accounts = self.answer_accounts(&reporter, &report.accounts);
         let mut board = self.board.borrow_mut();
-        board.take(reporter.clone(), report, now);
+        board.record(reporter.clone(), report, now);
         let answer = match reporter {
-            LoadReporter::Host(name) => board.others_of(&name, now),
-            LoadReporter::Zone(_) => board.of_zone(now),
+            LoadReporter::Host(name) => board.total_without(&name, now),
+            LoadReporter::Zone(_) => board.zone_total(now),
         };
         LoadReport {
             accounts,
@@ -143,7 +143,7 @@
     fn collect_own(&self) {
         let own = self.parts.own_report();
         let others = self.answer(self.own_reporter(), own, ReportedView::default());
-        self.board.borrow_mut().forget_old(self.parts.now());
+        self.board.borrow_mut().remove_expired(self.parts.now());
         self.parts.take_others(others);
     }
 
@@ -176,7 +176,7 @@
         let now = self.parts.now();
         let targets = self.targets.of(&self.parts.cluster.borrow(), own_zone, now);
         for entry in targets {
-            let report = self.board.borrow().of_zone(self.parts.now());
+            let report = self.board.borrow().zone_total(self.parts.now());
             let sent = self.links.share(
                 entry.peers,
                 &reporter,
@@ -191,7 +191,7 @@
                 Ok(theirs) => {
                     self.parts.note_peer();
                     let mut board = self.board.borrow_mut();
-                    board.take(LoadReporter::Zone(entry.zone), theirs, now);
+                    board.record(LoadReporter::Zone(entry.zone), theirs, now);
                 }
                 Err(error) => {
                     log::debug!("host {} took no report of a zone: {error}", entry.name);
--- a/src/relay/parts/shares.rs
+++ b/src/relay/parts/shares.rs
@@ -48,7 +48,7 @@
         let is_recent = now.saturating_sub(self.told) < PEER_LOAD_TTL;
         is_recent.then_some(DemandCounts {
             requests: known.requests,
-            repeats: known.repeats,
+            repeats: known.retries,
         })
     }
 }
@@ -174,13 +174,13 @@
             ServiceDemand {
                 service: service.clone(),
                 requests: counts.requests,
-                repeats: counts.repeats,
+                retries: counts.repeats,
             }
         });
         LoadReport {
             loads: self.book.borrow().loads(now),
             demands: demands.collect(),
-            wanted: self.wanted_keys(),
+            requested: self.wanted_keys(),
             accounts: UseReport {
                 uses: self.untold_uses(),
                 ..UseReport::default()
--- a/src/relay/policy/book.rs
+++ b/src/relay/policy/book.rs
@@ -256,7 +256,7 @@
         told.map(|view| EngineLoad {
             engine: view.key,
             memory_tokens: view.memory_tokens,
-            passed_over: u32::from(view.is_ejected(now)),
+            ejected_by: u32::from(view.is_ejected(now)),
         })
         .collect()
     }
@@ -268,7 +268,7 @@
         for view in self.views.values_mut() {
             let load = told.get(&view.key);
             view.peer_tokens = load.map_or(0, |load| load.memory_tokens);
-            view.peer_ejections = load.map_or(0, |load| load.passed_over);
+            view.peer_ejections = load.map_or(0, |load| load.ejected_by);
         }
         self.peer_loads_at = Some(now);
     }
--- a/src/relay/policy/loads.rs
+++ b/src/relay/policy/loads.rs
@@ -45,7 +45,7 @@
     /// Expected final memory use of its requests, in tokens.
     pub memory_tokens: u64,
     /// Number of hosts that have ejected it because it does not respond.
-    pub passed_over: u32,
+    pub ejected_by: u32,
 }
 
 /// Demand for a service within the retry budget's window.
@@ -56,7 +56,7 @@
     /// Requests for it.
     pub requests: u64,
     /// Attempts beyond the first of each request.
-    pub repeats: u64,
+    pub retries: u64,
 }
 
 /// A load report of one host, or the sum of several.
@@ -67,7 +67,7 @@
     /// Demand per service.
     pub demands: Vec<ServiceDemand>,
     /// Engines that a reply must include regardless of their load: the reporter's preferred ones.
-    pub wanted: Vec<EngineKey>,
+    pub requested: Vec<EngineKey>,
     /// Usage per client account; summed by the zone's ledger, not here.
     pub accounts: UseReport,
     /// In replies: the store does not respond to the aggregating host, or to the one that it follows.
@@ -85,43 +85,43 @@
 
 /// The latest report of each reporter.
 #[derive(Debug, Default)]
-pub struct LoadBoard {
+pub struct LoadAggregator {
     reports: BTreeMap<LoadReporter, (LoadReport, Duration)>,
 }
 
-impl LoadBoard {
+impl LoadAggregator {
     /// Stores a report, replacing the reporter's previous one.
-    pub fn take(&mut self, reporter: LoadReporter, report: LoadReport, now: Duration) {
+    pub fn record(&mut self, reporter: LoadReporter, report: LoadReport, now: Duration) {
         self.reports.insert(reporter, (report, now));
     }
 
     /// Sum of the current reports of all reporters except this host, limited to the engines that it asked for and the
     /// fullest others.
-    pub fn others_of(&self, host: &FastStr, now: Duration) -> LoadReport {
+    pub fn total_without(&self, host: &FastStr, now: Duration) -> LoadReport {
         let own = self.reports.get(&LoadReporter::Host(host.clone()));
-        let wanted = own.map_or(&[][..], |(report, _)| &report.wanted);
-        self.total(now, wanted, |reporter| match reporter {
+        let requested = own.map_or(&[][..], |(report, _)| &report.requested);
+        self.total(now, requested, |reporter| match reporter {
             LoadReporter::Host(name) => name != host,
             LoadReporter::Zone(_) => true,
         })
     }
 
     /// Sum of the current reports of the zone's own hosts, limited to the fullest engines.
-    pub fn of_zone(&self, now: Duration) -> LoadReport {
+    pub fn zone_total(&self, now: Duration) -> LoadReport {
         self.total(now, &[], |reporter| {
             matches!(reporter, LoadReporter::Host(_))
         })
     }
 
     /// Removes expired reports.
-    pub fn forget_old(&mut self, now: Duration) {
+    pub fn remove_expired(&mut self, now: Duration) {
         self.reports.retain(|_, (_, at)| is_recent(*at, now));
     }
 
     fn total(
         &self,
         now: Duration,
-        wanted: &[EngineKey],
+        requested: &[EngineKey],
         counts: impl Fn(&LoadReporter) -> bool,
     ) -> LoadReport {
         let mut loads: BTreeMap<EngineKey, EngineLoad> = BTreeMap::new();
@@ -134,19 +134,19 @@
                 let total = loads.entry(load.engine).or_default();
                 total.engine = load.engine;
                 total.memory_tokens += load.memory_tokens;
-                total.passed_over += load.passed_over;
+                total.ejected_by += load.ejected_by;
             }
             for demand in &report.demands {
                 let total = demands.entry(&demand.service).or_default();
                 total.service = demand.service.clone();
                 total.requests += demand.requests;
-                total.repeats += demand.repeats;
+                total.retries += demand.retries;
             }
         }
         LoadReport {
-            loads: limit_engines(loads.into_values().collect(), wanted),
+            loads: limit_engines(loads.into_values().collect(), requested),
             demands: demands.into_values().collect(),
-            wanted: Vec::new(),
+            requested: Vec::new(),
             accounts: UseReport::default(),
             is_store_lost: false,
         }
@@ -154,11 +154,11 @@
 }
 
 // The requested engines, then the fullest of the rest.
-fn limit_engines(loads: Vec<EngineLoad>, wanted: &[EngineKey]) -> Vec<EngineLoad> {
+fn limit_engines(loads: Vec<EngineLoad>, requested: &[EngineKey]) -> Vec<EngineLoad> {
     let (mut listed, mut rest): (Vec<EngineLoad>, Vec<EngineLoad>) = loads
         .into_iter()
-        .partition(|load| wanted.contains(&load.engine));
-    rest.sort_by_key(|load| Reverse((load.passed_over, load.memory_tokens)));
+        .partition(|load| requested.contains(&load.engine));
+    rest.sort_by_key(|load| Reverse((load.ejected_by, load.memory_tokens)));
     rest.truncate(EXTRA_ENGINES_MAX);
     listed.extend(rest);
     listed
--- a/tests/relay_crash_innocents.rs
+++ b/tests/relay_crash_innocents.rs
@@ -338,7 +338,7 @@
                 EngineLoad {
                     engine: EngineKey::of_run(&engine.info.id, engine.info.born),
                     memory_tokens: TOKENS * runs.count() as u64,
-                    passed_over: 0,
+                    ejected_by: 0,
                 }
             });
             let others: Vec<EngineLoad> = others.collect();
--- a/tests/relay_loads.rs
+++ b/tests/relay_loads.rs
@@ -6,8 +6,8 @@
     bayplank::{
         engine::EngineRole,
         relay::{
-            self, BackendFailure, BackendInfo, BackendRegistry, EngineKey, EngineLoad, LoadBoard,
-            LoadReport, LoadReporter, ServiceDemand,
+            self, BackendFailure, BackendInfo, BackendRegistry, EngineKey, EngineLoad,
+            LoadAggregator, LoadReport, LoadReporter, ServiceDemand,
         },
     },
     std::time::Duration,
@@ -28,7 +28,7 @@
     EngineLoad {
         engine: EngineKey::of(engine),
         memory_tokens,
-        passed_over: 0,
+        ejected_by: 0,
     }
 }
 
@@ -45,58 +45,64 @@
 
 #[test]
 fn a_host_gets_the_load_of_all_others_and_a_zone_that_of_its_hosts() {
-    let mut board = LoadBoard::default();
-    board.take(by_host("h-1"), report(vec![load("e-1", 10)]), millis(0));
-    board.take(
+    let mut aggregator = LoadAggregator::default();
+    aggregator.record(by_host("h-1"), report(vec![load("e-1", 10)]), millis(0));
+    aggregator.record(
         by_host("h-1"),
         report(vec![load("e-1", 1), load("e-2", 2)]),
         millis(100),
     );
-    board.take(by_host("h-2"), report(vec![load("e-1", 4)]), millis(100));
-    board.take(
+    aggregator.record(by_host("h-2"), report(vec![load("e-1", 4)]), millis(100));
+    aggregator.record(
         LoadReporter::Zone("z-b".into()),
         report(vec![load("e-2", 8)]),
         millis(100),
     );
     let now = millis(200);
     assert_eq!(
-        board.others_of(&"h-1".into(), now).loads,
+        aggregator.total_without(&"h-1".into(), now).loads,
         [load("e-2", 8), load("e-1", 4)]
     );
     assert_eq!(
-        board.others_of(&"h-2".into(), now).loads,
+        aggregator.total_without(&"h-2".into(), now).loads,
         [load("e-2", 10), load("e-1", 1)]
     );
-    assert_eq!(board.of_zone(now).loads, [load("e-1", 5), load("e-2", 2)]);
+    assert_eq!(
+        aggregator.zone_total(now).loads,
+        [load("e-1", 5), load("e-2", 2)]
+    );
 }
 
 #[test]
 fn demands_of_all_others_are_summed_per_service() {
-    let demand = |requests, repeats| LoadReport {
+    let demand = |requests, retries| LoadReport {
         demands: vec![ServiceDemand {
             service: "one".into(),
             requests,
-            repeats,
+            retries,
         }],
         ..LoadReport::default()
     };
-    let mut board = LoadBoard::default();
-    board.take(by_host("h-1"), demand(10, 1), millis(0));
-    board.take(by_host("h-2"), demand(20, 2), millis(0));
-    board.take(LoadReporter::Zone("z-b".into()), demand(40, 4), millis(0));
-    assert_eq!(board.others_of(&"h-1".into(), millis(100)), demand(60, 6));
-    assert_eq!(board.of_zone(millis(100)), demand(30, 3));
+    let mut aggregator = LoadAggregator::default();
+    aggregator.record(by_host("h-1"), demand(10, 1), millis(0));
+    aggregator.record(by_host("h-2"), demand(20, 2), millis(0));
+    aggregator.record(LoadReporter::Zone("z-b".into()), demand(40, 4), millis(0));
+    assert_eq!(
+        aggregator.total_without(&"h-1".into(), millis(100)),
+        demand(60, 6)
+    );
+    assert_eq!(aggregator.zone_total(millis(100)), demand(30, 3));
 }
 
 #[test]
 fn a_reply_lists_the_fullest_engines_and_stays_small() {
-    let mut board = LoadBoard::default();
+    let mut aggregator = LoadAggregator::default();
     let loads = (0..500).map(|index| load(&format!("e-{index}"), index));
-    board.take(by_host("h-1"), report(loads.collect()), millis(0));
-    let reply = board.others_of(&"h-2".into(), millis(1)).loads;
+    aggregator.record(by_host("h-1"), report(loads.collect()), millis(0));
+    let reply = aggregator.total_without(&"h-2".into(), millis(1)).loads;
     assert_eq!(reply.len(), 48);
     assert_eq!(reply[0], load("e-499", 499));
-    assert_eq!(board.of_zone(millis(1)).loads, reply);
+    assert_eq!(aggregator.zone_total(millis(1)).loads, reply);
 }
 
 #[test]
@@ -117,7 +123,7 @@
     sent.demands.push(ServiceDemand {
         service: "one".into(),
         requests: 70,
-        repeats: 3,
+        retries: 3,
     });
     let mut message = capnp::message::Builder::new_default();
     relay::write_report(message.init_root(), &sent);
@@ -131,24 +137,27 @@
 
 #[test]
 fn reports_of_removed_hosts_expire_soon() {
-    let mut board = LoadBoard::default();
-    board.take(by_host("h-1"), report(vec![load("e-1", 10)]), millis(0));
-    board.take(by_host("h-2"), report(vec![load("e-1", 4)]), millis(1_000));
+    let mut aggregator = LoadAggregator::default();
+    aggregator.record(by_host("h-1"), report(vec![load("e-1", 10)]), millis(0));
+    aggregator.record(by_host("h-2"), report(vec![load("e-1", 4)]), millis(1_000));
     assert_eq!(
-        board.others_of(&"h-3".into(), millis(1_400)).loads,
+        aggregator.total_without(&"h-3".into(), millis(1_400)).loads,
         [load("e-1", 14)]
     );
     assert_eq!(
-        board.others_of(&"h-3".into(), millis(1_600)).loads,
+        aggregator.total_without(&"h-3".into(), millis(1_600)).loads,
         [load("e-1", 4)]
     );
-    board.forget_old(millis(3_000));
-    assert_eq!(board.others_of(&"h-3".into(), millis(1_400)).loads, []);
+    aggregator.remove_expired(millis(3_000));
+    assert_eq!(
+        aggregator.total_without(&"h-3".into(), millis(1_400)).loads,
+        []
+    );
 }
 
 #[test]
 fn a_server_ejected_by_two_other_hosts_is_avoided_while_they_report_it() {
-    let mut board = LoadBoard::default();
+    let mut aggregator = LoadAggregator::default();
     let mut failing = BackendRegistry::default();
     failing.set_backends(vec![backend("s-1", false), backend("s-2", false)]);
     for _ in 0..2 {
@@ -160,9 +169,9 @@
     book.call_started("s-2", false, millis(0));
     let first = |book: &BackendRegistry, now| book.rank_plain("one", "z-a", &[], now)[0].id.clone();
     for (host, expected) in [("h-1", "s-1"), ("h-2", "s-2")] {
-        board.take(by_host(host), report(reports.clone()), millis(10));
+        aggregator.record(by_host(host), report(reports.clone()), millis(10));
         book.set_peer_loads(
-            &board.others_of(&"h-3".into(), millis(20)).loads,
+            &aggregator.total_without(&"h-3".into(), millis(20)).loads,
             millis(20),
         );
         assert_eq!(first(&book, millis(30)), expected);
@@ -200,21 +209,21 @@
 
 #[test]
 fn a_reply_includes_the_preferred_engines_even_if_they_are_idle() {
-    let mut board = LoadBoard::default();
+    let mut aggregator = LoadAggregator::default();
     let full: Vec<EngineLoad> = (0..60)
         .map(|index| load(&format!("full-{index}"), 9_000 + index))
         .collect();
-    board.take(by_host("h-1"), report(full), millis(0));
-    board.take(by_host("h-2"), report(vec![load("near", 10)]), millis(0));
+    aggregator.record(by_host("h-1"), report(full), millis(0));
+    aggregator.record(by_host("h-2"), report(vec![load("near", 10)]), millis(0));
     let asker = LoadReport {
-        wanted: vec![EngineKey::of("near"), EngineKey::of("idle")],
+        requested: vec![EngineKey::of("near"), EngineKey::of("idle")],
         ..LoadReport::default()
     };
-    board.take(by_host("h-3"), asker, millis(0));
-    let reply = board.others_of(&"h-3".into(), millis(100)).loads;
+    aggregator.record(by_host("h-3"), asker, millis(0));
+    let reply = aggregator.total_without(&"h-3".into(), millis(100)).loads;
     assert_eq!(reply[0], load("near", 10));
     assert_eq!(reply.len(), 49, "and the fullest of the others");
-    let others = board.others_of(&"h-1".into(), millis(100)).loads;
+    let others = aggregator.total_without(&"h-1".into(), millis(100)).loads;
     assert!(
         others
             .iter()
@@ -233,7 +242,7 @@
         book.note_failure("e-1", BackendFailure::Silent, at);
     }
     let reported = book.loads(at);
-    assert_eq!((reported.len(), reported[0].passed_over), (1, 1));
+    assert_eq!((reported.len(), reported[0].ejected_by), (1, 1));
     let again = BackendInfo {
         born: 7,
         ..first.clone()
