--- a/src/relay/parts/shared.rs
+++ b/src/relay/parts/shared.rs
@@ -22,7 +22,7 @@
             dialect::{BackendCall, CallDialect},
             policy::{
                 book::BackendRegistry, budget::WindowBudget, kept::KeptPrompts,
-                limit_book::LimitBook, line::WaitLine, route::RouteTable, view::BackendFailure,
+                limit_book::LimitBook, line::WaitQueue, route::RouteTable, view::BackendFailure,
                 waited::CallerWaits,
             },
             settings::RelaySettings,
@@ -80,7 +80,7 @@
     /// How long callers say that they will wait.
     pub waits: RefCell<CallerWaits>,
     /// Requests that wait for engines.
-    pub line: RefCell<WaitLine>,
+    pub line: RefCell<WaitQueue>,
     /// Told when memory or a place in the line may have become free.
     pub freed: Notify,
     /// Told when others are to hear of what requests of this host, or of those that report to it, have shown.
--- a/src/relay/policy/admission.rs
+++ b/src/relay/policy/admission.rs
@@ -4,7 +4,7 @@
 //! will miss its latency target leaves memory to requests, also of other hosts, that can still meet theirs.
 
 use {
-    super::line::LineKey,
+    super::line::QueueKey,
     crate::relay::dialect::CallMarks,
     std::{ops::RangeInclusive, time::Duration},
 };
@@ -40,12 +40,12 @@
 /// Retry delay given to callers that are refused for lack of memory. The requests that fill it run for about three
 /// seconds and a burst lasts four or five, so a retry after one second is mostly refused again. The delay is
 /// randomized so that callers refused together do not return together.
-pub(crate) const COME_BACK: RangeInclusive<Duration> =
+pub(crate) const RETRY_AFTER: RangeInclusive<Duration> =
     Duration::from_millis(2_400)..=Duration::from_millis(4_600);
 
 /// A request queued for memory at an engine.
 #[derive(Debug, Clone, Copy)]
-pub struct LineEntrant {
+pub struct QueuedRequest {
     /// Arrival time on the host's clock.
     pub arrived: Duration,
     /// How long its caller had already waited in earlier attempts.
@@ -58,14 +58,14 @@
     pub tokens: u64,
 }
 
-impl LineEntrant {
+impl QueuedRequest {
     /// Sort key of the request in the queue as of now. Requests that can still meet their target come first. Small
     /// requests go ahead of large ones that arrived slightly earlier: they need less memory for a shorter time, so
     /// more requests are served in time when the queue cannot be served in full.
-    pub fn key(&self, ticket: u64, now: Duration) -> LineKey {
+    pub fn key(&self, ticket: u64, now: Duration) -> QueueKey {
         let due = self.arrived + self.target.saturating_sub(self.waited);
         let size = (self.tokens as f64 / TYPICAL_TOKENS).clamp(SIZE_FACTOR_MIN, SIZE_FACTOR_MAX);
-        LineKey {
+        QueueKey {
             late: now + SERVICE_TIME > due,
             priority: self.priority,
             rank: self.arrived + self.target.mul_f64(size),
--- a/src/relay/policy/line.rs
+++ b/src/relay/policy/line.rs
@@ -4,7 +4,7 @@
 
 /// Sort key of a queued request; smaller keys are served first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct LineKey {
+pub struct QueueKey {
     /// Whether it can no longer meet its latency target; requests that can are served first.
     pub late: bool,
     /// Priority; 0 is the most urgent.
@@ -17,12 +17,12 @@
 
 /// This host's requests that wait for engine memory, in order.
 #[derive(Debug, Default)]
-pub struct WaitLine {
-    waiting: BTreeSet<LineKey>,
+pub struct WaitQueue {
+    waiting: BTreeSet<QueueKey>,
     next_ticket: u64,
 }
 
-impl WaitLine {
+impl WaitQueue {
     /// A unique number for a request to be queued.
     pub fn ticket(&mut self) -> u64 {
         self.next_ticket += 1;
@@ -30,7 +30,7 @@
     }
 
     /// Inserts a request, or moves it if it was queued under another key.
-    pub fn place(&mut self, before: Option<LineKey>, key: LineKey) {
+    pub fn insert(&mut self, before: Option<QueueKey>, key: QueueKey) {
         if let Some(before) = before {
             self.waiting.remove(&before);
         }
@@ -38,12 +38,12 @@
     }
 
     /// Removes a request.
-    pub fn leave(&mut self, key: &LineKey) {
+    pub fn remove(&mut self, key: &QueueKey) {
         self.waiting.remove(key);
     }
 
     /// Number of requests ahead of this one.
-    pub fn ahead(&self, key: &LineKey) -> usize {
+    pub fn ahead(&self, key: &QueueKey) -> usize {
         self.waiting.range(..key).count()
     }
 
--- a/src/relay/policy/room.rs
+++ b/src/relay/policy/room.rs
@@ -8,7 +8,7 @@
 
 /// Counts of a service's decode engines by the reason that excludes them.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct DecodeRoom {
+pub struct DecodeExclusions {
     /// All listed engines that are not draining.
     pub listed: usize,
     /// Asked this host to back off.
@@ -23,7 +23,7 @@
     pub refused: usize,
 }
 
-impl fmt::Display for DecodeRoom {
+impl fmt::Display for DecodeExclusions {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self {
             listed,
@@ -41,7 +41,7 @@
     }
 }
 
-impl DecodeRoom {
+impl DecodeExclusions {
     /// Counts the engines for a request of this many tokens; `memory` is an engine's capacity in tokens.
     pub fn of(
         book: &BackendRegistry,
--- a/src/relay/request/reserve.rs
+++ b/src/relay/request/reserve.rs
@@ -10,10 +10,10 @@
             config::EngineLimits,
             parts::{permits::ServerPermit, shared::RelayParts},
             policy::{
-                admission::{self, LineEntrant},
+                admission::{self, QueuedRequest},
                 kept::KeptAt,
-                line::LineKey,
-                room::DecodeRoom,
+                line::QueueKey,
+                room::DecodeExclusions,
             },
         },
     },
@@ -110,14 +110,14 @@
 // A place in the line; left when dropped.
 struct LinePlace {
     parts: Rc<RelayParts>,
-    key: LineKey,
-    entrant: LineEntrant,
+    key: QueueKey,
+    entrant: QueuedRequest,
 }
 
 impl LinePlace {
     fn join(parts: &Rc<RelayParts>, call: &RelayCall) -> Self {
         let mut line = parts.line.borrow_mut();
-        let entrant = LineEntrant {
+        let entrant = QueuedRequest {
             arrived: call.arrived,
             waited: call.waited,
             target: call.route.latency_target,
@@ -125,7 +125,7 @@
             tokens: call.marks.prompt_tokens + call.marks.answer_hint.unwrap_or_default(),
         };
         let key = entrant.key(line.ticket(), parts.now());
-        line.place(None, key);
+        line.insert(None, key);
         Self {
             parts: parts.clone(),
             key,
@@ -141,7 +141,7 @@
     fn update(&mut self) {
         let key = self.entrant.key(self.key.ticket, self.parts.now());
         if key != self.key {
-            self.parts.line.borrow_mut().place(Some(self.key), key);
+            self.parts.line.borrow_mut().insert(Some(self.key), key);
             self.key = key;
         }
     }
@@ -149,7 +149,7 @@
 
 impl Drop for LinePlace {
     fn drop(&mut self) {
-        self.parts.line.borrow_mut().leave(&self.key);
+        self.parts.line.borrow_mut().remove(&self.key);
         self.parts.freed.notify_waiters();
     }
 }
@@ -209,9 +209,10 @@
 fn no_room(parts: &RelayParts, service: &str, tokens: u64) -> Refusal {
     let memory = engine_limits(parts, service).map(|limits| limits.memory_tokens);
     let book = parts.book.borrow();
-    let room = DecodeRoom::of(&book, service, tokens, memory, parts.now());
+    let room = DecodeExclusions::of(&book, service, tokens, memory, parts.now());
     let text = format!("no decode engine has memory for this request: {room}");
-    Refusal::not_run(RefusalCode::Overloaded, text).after(rand::random_range(admission::COME_BACK))
+    Refusal::not_run(RefusalCode::Overloaded, text)
+        .after(rand::random_range(admission::RETRY_AFTER))
 }
 
 async fn ask_round(
--- a/tests/relay_burst.rs
+++ b/tests/relay_burst.rs
@@ -2,7 +2,7 @@
 //! many callers are served in time.
 
 use {
-    bayplank::relay::{self, CallerWaits, LineEntrant},
+    bayplank::relay::{self, CallerWaits, QueuedRequest},
     rand::{RngExt, SeedableRng, rngs::StdRng},
     std::time::Duration,
 };
@@ -63,7 +63,7 @@
 /// Runs one simulation. Without `yields` the hosts treat all requests as if they could still meet their target.
 fn simulate(seed: u64, yields: bool) -> Served {
     let mut hosts = StdRng::seed_from_u64(seed + 1_000);
-    let mut lines: Vec<Vec<Caller>> = (0..HOSTS).map(|_| Vec::new()).collect();
+    let mut queues: Vec<Vec<Caller>> = (0..HOSTS).map(|_| Vec::new()).collect();
     let mut waits: Vec<CallerWaits> = (0..HOSTS).map(|_| CallerWaits::default()).collect();
     let mut away = arrivals(seed);
     let mut running: Vec<(usize, u64, u64)> = Vec::new();
@@ -79,14 +79,17 @@
             let waited = waits[host].waited(&"route".into(), left);
             caller.waited = if yields { waited } else { Duration::ZERO };
             (caller.arrived, caller.ticket) = (now, ticket);
-            lines[host].push(caller);
+            queues[host].push(caller);
         }
         running.retain(|(_, _, until)| *until > now);
-        for line in &mut lines {
-            let key =
-                |caller: &Caller| entrant(caller).key(caller.ticket, Duration::from_millis(now));
-            line.sort_by_key(key);
-            let Some(caller) = line.first() else { continue };
+        for queue in &mut queues {
+            let key = |caller: &Caller| {
+                queued_request(caller).key(caller.ticket, Duration::from_millis(now))
+            };
+            queue.sort_by_key(key);
+            let Some(caller) = queue.first() else {
+                continue;
+            };
             let is_late = yields && key(caller).late;
             let wanted = caller.tokens + relay::headroom(MEMORY, caller.tokens, is_late);
             let taken = |engine: usize| -> u64 {
@@ -95,7 +98,7 @@
             };
             let engine = (0..ENGINES).find(|engine| taken(*engine) + wanted <= MEMORY);
             if let Some(engine) = engine {
-                let caller = line.remove(0);
+                let caller = queue.remove(0);
                 running.push((engine, caller.tokens, now + RUN_MS));
                 match now + SERVICE_MS - caller.first <= TARGET.as_millis() as u64 {
                     true => served.in_time += 1,
@@ -103,11 +106,11 @@
                 }
             }
         }
-        for line in &mut lines {
-            let (over, waiting): (Vec<_>, Vec<_>) = line
+        for queue in &mut queues {
+            let (over, waiting): (Vec<_>, Vec<_>) = queue
                 .drain(..)
                 .partition(|caller| now - caller.arrived >= QUEUE_MS);
-            *line = waiting;
+            *queue = waiting;
             for caller in over {
                 match caller.arrived == caller.first {
                     true => away.push((now + RETRY_DELAY_MS, caller)),
@@ -119,8 +122,8 @@
     served
 }
 
-fn entrant(caller: &Caller) -> LineEntrant {
-    LineEntrant {
+fn queued_request(caller: &Caller) -> QueuedRequest {
+    QueuedRequest {
         arrived: Duration::from_millis(caller.arrived),
         waited: caller.waited,
         target: TARGET,
--- a/tests/relay_decisions.rs
+++ b/tests/relay_decisions.rs
@@ -9,8 +9,8 @@
         operation::{Refusal, RefusalCode, RunVerdict},
         relay::{
             self, BackendFailure, BackendRegistry, CallerLimits, ClusterState, EventSplitter,
-            LineKey, RelayConfig, RelayRoute, RelayService, RequestKind, RouteTable, ServiceShare,
-            StoreChange, StoreItem, StoreKind, StoreValue, WaitLine,
+            QueueKey, RelayConfig, RelayRoute, RelayService, RequestKind, RouteTable, ServiceShare,
+            StoreChange, StoreItem, StoreKind, StoreValue, WaitQueue,
         },
         store::StorePosition,
     },
@@ -348,26 +348,29 @@
 
 #[test]
 fn the_queue_serves_requests_that_can_be_in_time_first_then_by_priority() {
-    let key = |late, priority, due, ticket| LineKey {
+    let key = |late, priority, due, ticket| QueueKey {
         late,
         priority,
         rank: millis(due),
         ticket,
     };
-    let mut line = WaitLine::default();
+    let mut queue = WaitQueue::default();
     let (first, second, late) = (
         key(false, 0, 90, 1),
         key(false, 1, 10, 2),
         key(true, 0, 1, 3),
     );
     for one in [late, second, first] {
-        line.place(None, one);
+        queue.insert(None, one);
     }
-    assert_eq!([first, second, late].map(|one| line.ahead(&one)), [0, 1, 2]);
-    line.place(Some(first), key(true, 0, 90, 1));
-    assert_eq!(line.ahead(&second), 0);
-    line.leave(&second);
-    assert_eq!(line.len(), 2);
+    assert_eq!(
+        [first, second, late].map(|one| queue.ahead(&one)),
+        [0, 1, 2]
+    );
+    queue.insert(Some(first), key(true, 0, 90, 1));
+    assert_eq!(queue.ahead(&second), 0);
+    queue.remove(&second);
+    assert_eq!(queue.len(), 2);
 }
 
 #[test]
@@ -386,8 +389,8 @@
     book.note_declined("e-2", now);
     book.memory_reserved("e-3", 40_000);
     book.note_out_of_memory("e-4", 3_000, now);
-    let room = relay::DecodeRoom::of(&book, "one", 3_000, Some(30_000), now);
-    let expected = relay::DecodeRoom {
+    let room = relay::DecodeExclusions::of(&book, "one", 3_000, Some(30_000), now);
+    let expected = relay::DecodeExclusions {
         listed: 6,
         backing_off: 1,
         ejected: 1,
