--- a/src/relay/news/feed.rs
+++ b/src/relay/news/feed.rs
@@ -10,7 +10,7 @@
             policy::past_time::PastTime,
             policy::{
                 pauses::{FOLLOWER_PAUSES, READER_PAUSES, StorePauses},
-                source::old_news,
+                source::stale_age,
             },
             vital,
         },
@@ -307,7 +307,7 @@
     }
 
     fn watch_time(&self) -> Duration {
-        old_news(self.parts.settings.bounds.change_time).mul_f64(WATCH_PART)
+        stale_age(self.parts.settings.bounds.change_time).mul_f64(WATCH_PART)
     }
 
     // Where keys are bound to a proof, it is renewed with each watch.
--- a/src/relay/news/follow.rs
+++ b/src/relay/news/follow.rs
@@ -13,7 +13,7 @@
             link::HostEntry,
             parts::shared::RelayParts,
             policy::past_time::PastTime,
-            policy::source::{self, NewsSource, SourceChoice, SourceRules},
+            policy::source::{self, SourceSelector, SourceSettings, UpdateSource},
             vital,
         },
         store::StorePosition,
@@ -66,8 +66,8 @@
     pub(super) parts: Rc<RelayParts>,
     pub(super) feed: Rc<StoreFeed>,
     pub(super) links: Rc<NewsLinks>,
-    pub(super) choice: RefCell<SourceChoice>,
-    last: RefCell<NewsSource>,
+    pub(super) choice: RefCell<SourceSelector>,
+    last: RefCell<UpdateSource>,
     // The hosts that this one was told it may follow before it knows any.
     pub(super) guides: RefCell<Vec<HostEntry>>,
     // The position of the hosts' list by which the choice goes, how many hosts it has, and how many guides it was given.
@@ -84,20 +84,20 @@
     /// Starts to follow.
     pub fn start(parts: Rc<RelayParts>, feed: Rc<StoreFeed>, links: Rc<NewsLinks>) -> Rc<Self> {
         let settings = &parts.settings;
-        let (start_patience, told_patience) = start::start_patience(&parts);
-        let rules = SourceRules {
+        let (start_wait, seed_wait) = start::start_patience(&parts);
+        let rules = SourceSettings {
             own: settings.name.clone(),
             zone: settings.zone.clone(),
-            old_news: source::old_news(settings.bounds.change_time),
-            start_patience,
-            told_patience,
+            stale_age: source::stale_age(settings.bounds.change_time),
+            start_wait,
+            seed_wait,
         };
         let follower = Rc::new(Self {
             parts,
             feed,
             links,
-            choice: RefCell::new(SourceChoice::new(rules)),
-            last: RefCell::new(NewsSource::Seeds),
+            choice: RefCell::new(SourceSelector::new(rules)),
+            last: RefCell::new(UpdateSource::Seeds),
             guides: RefCell::default(),
             chosen_by: Cell::default(),
             newest_report: RefCell::default(),
@@ -117,13 +117,13 @@
     /// The head of the zone took no report.
     pub fn note_unreported(&self, name: &FastStr) {
         let now = self.parts.now();
-        self.choice.borrow_mut().note_unreported(name, now);
+        self.choice.borrow_mut().note_report_failed(name, now);
     }
 
     /// The head of the zone hears from the store.
     pub fn note_store_back(&self) {
         let now = self.parts.now();
-        self.choice.borrow_mut().note_store_back(now);
+        self.choice.borrow_mut().note_store_recovered(now);
     }
 
     /// Another host reported how new its view is.
@@ -177,7 +177,7 @@
     async fn run(self: Rc<Self>) {
         loop {
             match self.choose() {
-                NewsSource::Store => {
+                UpdateSource::Store => {
                     let knew = self.knows_all();
                     // A call that hangs tells nothing for a second and more; old news do.
                     if self.feed.is_lost() || self.has_old_news() {
@@ -192,13 +192,13 @@
                         }
                     }
                 }
-                NewsSource::Host(entry) => {
+                UpdateSource::Host(entry) => {
                     tokio::select! {
                         () = self.follow(&entry) => {}
                         () = self.newer.notified() => self.ask_newer().await,
                     }
                 }
-                NewsSource::Seeds => self.ask_seeds().await,
+                UpdateSource::Seeds => self.ask_seeds().await,
             }
         }
     }
@@ -210,7 +210,7 @@
 
     fn has_old_news(&self) -> bool {
         let age = self.parts.cluster.borrow().age(self.parts.now());
-        self.choice.borrow().is_old(age)
+        self.choice.borrow().is_stale(age)
     }
 
     fn is_listed(&self) -> bool {
@@ -219,7 +219,7 @@
         hosts.any(|entry| entry.name == self.parts.settings.name)
     }
 
-    fn choose(&self) -> NewsSource {
+    fn choose(&self) -> UpdateSource {
         let now = self.parts.now();
         let age = self.parts.cluster.borrow().age(now);
         self.update_hosts();
@@ -233,7 +233,7 @@
             }
             (source, choice.is_reader(now))
         };
-        let reads = source == NewsSource::Store;
+        let reads = source == UpdateSource::Store;
         // One that is not listed yet cannot know that it is to read the hosts.
         let is_listed = self.is_listed();
         self.feed
@@ -303,7 +303,7 @@
             }
             Err(error) => {
                 log::debug!("host {} gave no news: {error}", entry.name);
-                self.choice.borrow_mut().note_silent(&entry.name, now);
+                self.choice.borrow_mut().note_timeout(&entry.name, now);
             }
         }
     }
@@ -311,8 +311,8 @@
     fn note_answer(&self, name: &FastStr, news: &ClusterNews, now: Duration) {
         let mut choice = self.choice.borrow_mut();
         match news.age.is_none() && self.knows_all() {
-            true => choice.note_unknowing(name, now),
-            false => choice.note_heard(name, now),
+            true => choice.note_without_data(name, now),
+            false => choice.note_response(name, now),
         }
     }
 
@@ -373,11 +373,11 @@
     }
 }
 
-fn tell_change(source: &NewsSource, age: Option<Duration>) {
+fn tell_change(source: &UpdateSource, age: Option<Duration>) {
     let name = match source {
-        NewsSource::Store => "the store",
-        NewsSource::Host(entry) => entry.name.as_str(),
-        NewsSource::Seeds => "the hosts that the settings name",
+        UpdateSource::Store => "the store",
+        UpdateSource::Host(entry) => entry.name.as_str(),
+        UpdateSource::Seeds => "the hosts that the settings name",
     };
     let age = age.map_or("unknown".to_owned(), |age| age.as_millis().to_string());
     event::emit(&event::NEWS_SOURCE, &[("source", &name), ("age_ms", &age)]);
--- a/src/relay/news/start.rs
+++ b/src/relay/news/start.rs
@@ -38,7 +38,7 @@
         seeds.retain(|address| *address != settings.peers);
         seeds.shuffle(&mut rand::rng());
         for address in seeds {
-            let left = self.choice.borrow().patience_left(self.parts.now());
+            let left = self.choice.borrow().start_wait_left(self.parts.now());
             let held = HeldNews {
                 is_starting: true,
                 ..self.held(address, SEED_WAIT.min(left / 2), true)
@@ -47,7 +47,7 @@
             let asked = self.parts.now();
             let answer = self.links.follow(address, held, patience).await;
             if answer.is_ok() {
-                self.choice.borrow_mut().note_seed();
+                self.choice.borrow_mut().note_seed_response();
             }
             match answer {
                 Ok(news) if !news.guides.is_empty() => {
@@ -61,7 +61,7 @@
                 return;
             }
         }
-        let left = self.choice.borrow().patience_left(self.parts.now());
+        let left = self.choice.borrow().start_wait_left(self.parts.now());
         tokio::time::sleep(SEEDS_PAUSE.min(left)).await;
     }
 }
--- a/src/relay/news/tell.rs
+++ b/src/relay/news/tell.rs
@@ -77,7 +77,7 @@
     let cluster = parts.cluster.borrow();
     if held.is_starting && cluster.host_count() > TOLD_WHOLE_HOSTS {
         return ClusterNews {
-            guides: source::guides_of(cluster.hosts().cloned(), &held.zone),
+            guides: source::starting_points(cluster.hosts().cloned(), &held.zone),
             ..ClusterNews::default()
         };
     }
--- a/src/relay/policy/source.rs
+++ b/src/relay/policy/source.rs
@@ -31,7 +31,7 @@
 const STALE_AGE_MAX: Duration = Duration::from_millis(1_800);
 
 /// Age at which data is stale, given that changes have to take effect within `change_time`.
-pub fn old_news(change_time: Duration) -> Duration {
+pub fn stale_age(change_time: Duration) -> Duration {
     let age = change_time.saturating_sub(OWN_READING_MARGIN);
     age.clamp(STALE_AGE_MIN, STALE_AGE_MAX)
 }
@@ -71,7 +71,7 @@
 
 /// Number of hosts of its own zone that a starting host is given to follow: the head, the standby, and one more in
 /// case one of them is gone. It is given as many heads of other zones.
-const GUIDES: usize = 3;
+const STARTING_POINTS: usize = 3;
 
 /// Sorts the hosts of a zone by their precedence as its head: the strongest first, since the head serves all others,
 /// and by hash among equals.
@@ -81,7 +81,7 @@
 
 /// Where to get store updates from.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum NewsSource {
+pub enum UpdateSource {
     /// The store.
     Store,
     /// Another host.
@@ -92,18 +92,18 @@
 
 /// Parameters of a host's choice.
 #[derive(Debug, Clone)]
-pub struct SourceRules {
+pub struct SourceSettings {
     /// The host's own name.
     pub own: FastStr,
     /// Its availability zone.
     pub zone: FastStr,
     /// Age at which data is stale.
-    pub old_news: Duration,
+    pub stale_age: Duration,
     /// How long it waits for other hosts after its start before it reads the store. Short for a seed host, since some
     /// host has to read first.
-    pub start_patience: Duration,
+    pub start_wait: Duration,
     /// The same once a seed host has responded without data: it will have data soon.
-    pub told_patience: Duration,
+    pub seed_wait: Duration,
 }
 
 /// Why a host that is not a reader reads the store.
@@ -125,8 +125,8 @@
 
 /// One host's choice of its update source.
 #[derive(Debug)]
-pub struct SourceChoice {
-    rules: SourceRules,
+pub struct SourceSelector {
+    settings: SourceSettings,
     // The hosts of each zone, by precedence as its head.
     zones: BTreeMap<FastStr, Vec<HostEntry>>,
     skipped: BTreeMap<FastStr, Skip>,
@@ -140,15 +140,15 @@
     // When a trial of this host last succeeded while the store did not respond to the readers.
     served: Option<Duration>,
     // How long after its start it waits for other hosts before it reads the store.
-    patience: Duration,
+    start_wait: Duration,
 }
 
-impl SourceChoice {
+impl SourceSelector {
     /// The choice of a host that knows no others yet.
-    pub fn new(rules: SourceRules) -> Self {
+    pub fn new(settings: SourceSettings) -> Self {
         Self {
-            patience: rules.start_patience,
-            rules,
+            start_wait: settings.start_wait,
+            settings,
             zones: BTreeMap::new(),
             skipped: BTreeMap::new(),
             unreported: BTreeMap::new(),
@@ -169,17 +169,17 @@
     }
 
     /// Records that a seed host responded, with or without data.
-    pub fn note_seed(&mut self) {
-        self.patience = self.patience.max(self.rules.told_patience);
+    pub fn note_seed_response(&mut self) {
+        self.start_wait = self.start_wait.max(self.settings.seed_wait);
     }
 
     /// How much longer a starting host waits for other hosts.
-    pub fn patience_left(&self, now: Duration) -> Duration {
-        self.patience.saturating_sub(now)
+    pub fn start_wait_left(&self, now: Duration) -> Duration {
+        self.start_wait.saturating_sub(now)
     }
 
     /// Records that a host did not respond.
-    pub fn note_silent(&mut self, name: &FastStr, now: Duration) {
+    pub fn note_timeout(&mut self, name: &FastStr, now: Duration) {
         let before = self.skipped.get(name);
         let doubled = before.map_or(SKIP_MIN, |before| before.time * 2);
         let time = doubled.clamp(SKIP_MIN, SKIP_MAX);
@@ -188,13 +188,13 @@
     }
 
     /// Records that a host responded, whatever the age of its data.
-    pub fn note_heard(&mut self, name: &str, now: Duration) {
+    pub fn note_response(&mut self, name: &str, now: Duration) {
         self.skipped.remove(name);
         self.heard = self.heard.max(now);
     }
 
     /// Records that a host responded without data while this one has some.
-    pub fn note_unknowing(&mut self, name: &FastStr, now: Duration) {
+    pub fn note_without_data(&mut self, name: &FastStr, now: Duration) {
         let until = now + SKIP_WITHOUT_DATA;
         let skip = Skip {
             until,
@@ -204,18 +204,18 @@
     }
 
     /// Whether data of this age is stale, so that other hosts may have newer data.
-    pub fn is_old(&self, age: Option<Duration>) -> bool {
-        age.is_some_and(|age| age >= self.rules.old_news)
+    pub fn is_stale(&self, age: Option<Duration>) -> bool {
+        age.is_some_and(|age| age >= self.settings.stale_age)
     }
 
     /// Whether this host is one of the readers, which read the store for all.
     pub fn is_reader(&self, now: Duration) -> bool {
         let mut readers = self.heads(now).into_iter().take(READERS);
-        readers.any(|entry| entry.name == self.rules.own)
+        readers.any(|entry| entry.name == self.settings.own)
     }
 
     /// Records that a host of the own zone did not accept a report.
-    pub fn note_unreported(&mut self, name: &FastStr, now: Duration) {
+    pub fn note_report_failed(&mut self, name: &FastStr, now: Duration) {
         self.unreported.retain(|_, until| now < *until);
         self.unreported.insert(name.clone(), now + SKIP_MIN);
     }
@@ -227,18 +227,19 @@
             until.is_some_and(|until| now < *until)
         };
         let head = self.own_zone(now).find(|entry| !is_unreported(entry));
-        head.filter(|entry| entry.name != self.rules.own).cloned()
+        head.filter(|entry| entry.name != self.settings.own)
+            .cloned()
     }
 
     /// The heads of the other zones, by precedence as readers.
     pub fn other_heads(&self, now: Duration) -> Vec<HostEntry> {
         let heads = self.heads(now).into_iter();
-        let others = heads.filter(|entry| entry.zone != self.rules.zone);
+        let others = heads.filter(|entry| entry.zone != self.settings.zone);
         others.cloned().collect()
     }
 
     /// Records that the zone's head hears from the store again, so that this host need not read it any longer.
-    pub fn note_store_back(&mut self, now: Duration) {
+    pub fn note_store_recovered(&mut self, now: Duration) {
         if matches!(self.reading, Some((OwnReading::Served, _))) {
             self.heard = now;
             self.reading = None;
@@ -257,16 +258,16 @@
 
     /// Time left without hearing from another host before this one reads the store itself.
     pub fn time_left(&self, now: Duration) -> Duration {
-        (self.heard + self.rules.old_news).saturating_sub(now)
+        (self.heard + self.settings.stale_age).saturating_sub(now)
     }
 
     /// Chooses the source to query next. `age` is the time since the store is known to have responded to any host;
     /// `None` while this host's data is incomplete. `is_lost` means that the store does not respond to the host that
     /// this one follows.
-    pub fn choose(&mut self, age: Option<Duration>, is_lost: bool, now: Duration) -> NewsSource {
+    pub fn choose(&mut self, age: Option<Duration>, is_lost: bool, now: Duration) -> UpdateSource {
         if self.is_reader(now) {
             self.heard = now;
-            return NewsSource::Store;
+            return UpdateSource::Store;
         }
         match age {
             None => {
@@ -276,23 +277,23 @@
             Some(age) => self.update_own_reading(age, is_lost, now),
         }
         match self.reading {
-            Some(_) => NewsSource::Store,
+            Some(_) => UpdateSource::Store,
             None => self
                 .followed(now)
-                .map_or(NewsSource::Store, NewsSource::Host),
+                .map_or(UpdateSource::Store, UpdateSource::Host),
         }
     }
 
     // A host without data queries others, and the store once that takes too long. A head reads the store at once,
     // since its whole zone waits for it.
-    fn choose_at_start(&self, now: Duration) -> NewsSource {
-        let is_late = now >= self.patience;
+    fn choose_at_start(&self, now: Duration) -> UpdateSource {
+        let is_late = now >= self.start_wait;
         let is_head = self.is_head(now);
         if is_late || is_head {
-            return NewsSource::Store;
+            return UpdateSource::Store;
         }
         self.followed(now)
-            .map_or(NewsSource::Seeds, NewsSource::Host)
+            .map_or(UpdateSource::Seeds, UpdateSource::Host)
     }
 
     fn update_own_reading(&mut self, age: Duration, is_lost: bool, now: Duration) {
@@ -300,7 +301,7 @@
             true => Duration::ZERO,
             false => SILENCE_MARGIN,
         };
-        let is_silent = age >= self.rules.old_news + margin;
+        let is_silent = age >= self.settings.stale_age + margin;
         self.reading = match self.reading {
             // It keeps reading: a change is then known at once rather than at its next turn, two seconds later.
             Some((OwnReading::Trial, _)) if !is_silent => {
@@ -334,7 +335,7 @@
         // The head is a reader itself or follows one.
         let others = self.own_zone(now).skip(1);
         let drawn = others.max_by_key(|entry| peer::draw(&entry.name, &turn));
-        is_served || drawn.is_some_and(|entry| entry.name == self.rules.own)
+        is_served || drawn.is_some_and(|entry| entry.name == self.settings.own)
     }
 
     // The host that this one follows; `None` if there is no other.
@@ -343,10 +344,10 @@
             let readers = self.heads(now).into_iter().take(READERS);
             return self.pick_by_hash(readers);
         }
-        let hosts = self.zones.get(&self.rules.zone)?.len();
+        let hosts = self.zones.get(&self.settings.zone)?.len();
         let wanted = 1 + usize::from(hosts >= STANDBY_FROM);
         let followed: Vec<&HostEntry> = self.own_zone(now).take(wanted).collect();
-        let is_standby = followed.iter().any(|entry| entry.name == self.rules.own);
+        let is_standby = followed.iter().any(|entry| entry.name == self.settings.own);
         match is_standby {
             true => self.head(now),
             false => self.pick_by_hash(followed.into_iter()),
@@ -355,18 +356,18 @@
 
     // Rendezvous hashing spreads the followers and keeps each of them at the same host.
     fn pick_by_hash<'a>(&self, entries: impl Iterator<Item = &'a HostEntry>) -> Option<HostEntry> {
-        let drawn = entries.max_by_key(|entry| peer::draw(&self.rules.own, &entry.name));
+        let drawn = entries.max_by_key(|entry| peer::draw(&self.settings.own, &entry.name));
         drawn.cloned()
     }
 
     fn is_head(&self, now: Duration) -> bool {
         let head = self.own_zone(now).next();
-        head.is_some_and(|entry| entry.name == self.rules.own)
+        head.is_some_and(|entry| entry.name == self.settings.own)
     }
 
     // The hosts of the own zone that are not skipped, by precedence.
     fn own_zone(&self, now: Duration) -> impl Iterator<Item = &HostEntry> {
-        let entries = self.zones.get(&self.rules.zone).into_iter().flatten();
+        let entries = self.zones.get(&self.settings.zone).into_iter().flatten();
         entries.filter(move |entry| self.is_available(entry, now))
     }
 
@@ -403,15 +404,15 @@
 }
 
 /// Hosts that a starting host of a zone may follow, and the first heads of other zones.
-pub fn guides_of(hosts: impl Iterator<Item = HostEntry>, zone: &str) -> Vec<HostEntry> {
+pub fn starting_points(hosts: impl Iterator<Item = HostEntry>, zone: &str) -> Vec<HostEntry> {
     let mut zones = by_zone(hosts);
-    let mut guides = zones.remove(zone).unwrap_or_default();
-    guides.truncate(GUIDES);
+    let mut points = zones.remove(zone).unwrap_or_default();
+    points.truncate(STARTING_POINTS);
     let heads = zones
         .into_values()
         .filter_map(|entries| entries.into_iter().next());
     let mut heads: Vec<HostEntry> = heads.collect();
     heads.sort_by_key(head_rank);
-    guides.extend(heads.into_iter().take(GUIDES));
-    guides
+    points.extend(heads.into_iter().take(STARTING_POINTS));
+    points
 }
--- a/tests/fleet_sim/crashes.rs
+++ b/tests/fleet_sim/crashes.rs
@@ -231,7 +231,7 @@
                 true => {
                     host.crashes.skipped.insert(to, self.now + SKIP_TIME);
                 }
-                false => host.choice.note_unreported(&name, local),
+                false => host.choice.note_report_failed(&name, local),
             }
             return false;
         }
--- a/tests/fleet_sim/mod.rs
+++ b/tests/fleet_sim/mod.rs
@@ -1,6 +1,6 @@
 //! Simulation of hundreds of hosts and a faulty store in virtual time.
 //!
-//! Each host runs the real `SourceChoice`; the store, the queries between hosts and the clock are simulated here.
+//! Each host runs the real `SourceSelector`; the store, the queries between hosts and the clock are simulated here.
 
 #[allow(dead_code)]
 pub mod crashes;
@@ -10,7 +10,8 @@
 use {
     self::crashes::SimCrashes,
     bayplank::relay::{
-        self, FOLLOWER_PAUSES, HostEntry, NewsSource, READER_PAUSES, SourceChoice, SourceRules,
+        self, FOLLOWER_PAUSES, HostEntry, READER_PAUSES, SourceSelector, SourceSettings,
+        UpdateSource,
     },
     faststr::FastStr,
     rand::{RngExt, SeedableRng, rngs::StdRng, seq::IndexedRandom},
@@ -41,7 +42,7 @@
 
 pub struct SimHost {
     pub entry: HostEntry,
-    pub choice: SourceChoice,
+    pub choice: SourceSelector,
     pub started: u64,
     pub is_up: bool,
     pub knows_hosts: bool,
@@ -106,13 +107,13 @@
     entries
 }
 
-fn choice_of(entry: &HostEntry, patience: u64, told: u64) -> SourceChoice {
-    SourceChoice::new(SourceRules {
+fn choice_of(entry: &HostEntry, patience: u64, told: u64) -> SourceSelector {
+    SourceSelector::new(SourceSettings {
         own: entry.name.clone(),
         zone: entry.zone.clone(),
-        old_news: relay::old_news(CHANGE_TIME),
-        start_patience: Duration::from_millis(patience),
-        told_patience: Duration::from_millis(told),
+        stale_age: relay::stale_age(CHANGE_TIME),
+        start_wait: Duration::from_millis(patience),
+        seed_wait: Duration::from_millis(told),
     })
 }
 
@@ -132,7 +133,7 @@
         for entry in &entries {
             let mut choice = choice_of(entry, 0, 0);
             choice.set_hosts(entries.iter());
-            choice.note_heard("", Duration::from_secs(10));
+            choice.note_response("", Duration::from_secs(10));
             fleet.hosts.push(SimHost {
                 entry: entry.clone(),
                 choice,
@@ -223,8 +224,8 @@
             return;
         }
         match self.choose(index) {
-            NewsSource::Store => self.read(index, trouble),
-            NewsSource::Host(entry) => {
+            UpdateSource::Store => self.read(index, trouble),
+            UpdateSource::Host(entry) => {
                 let asked = self
                     .hosts
                     .iter()
@@ -233,7 +234,7 @@
                 self.hosts[index].busy_until = self.now;
                 self.hosts[index].failures = 0;
             }
-            NewsSource::Seeds => self.query_seed(index, trouble),
+            UpdateSource::Seeds => self.query_seed(index, trouble),
         }
     }
 
@@ -242,7 +243,7 @@
         (host.era, host.version)
     }
 
-    fn choose(&mut self, index: usize) -> NewsSource {
+    fn choose(&mut self, index: usize) -> UpdateSource {
         let now = self.now;
         let host = &mut self.hosts[index];
         let age = host.confirmed.map(|at| Duration::from_millis(now - at));
@@ -263,7 +264,7 @@
         if !is_reachable {
             if self.now >= since + PATIENCE || !other.is_up {
                 let name = other.entry.name.clone();
-                self.hosts[index].choice.note_silent(&name, now);
+                self.hosts[index].choice.note_timeout(&name, now);
                 self.hosts[index].asked = None;
             }
             return;
@@ -278,8 +279,8 @@
         let is_unknowing = other.confirmed.is_none() && self.hosts[index].confirmed.is_some();
         let choice = &mut self.hosts[index].choice;
         match is_unknowing {
-            true => choice.note_unknowing(&name, now),
-            false => choice.note_heard(&name, now),
+            true => choice.note_without_data(&name, now),
+            false => choice.note_response(&name, now),
         }
         self.hosts[index].asked = None;
         self.hosts[index].is_lost = is_lost;
@@ -413,14 +414,14 @@
             return;
         }
         let knows_hosts = other.knows_hosts;
-        self.hosts[index].choice.note_seed();
+        self.hosts[index].choice.note_seed_response();
         if !knows_hosts {
             return;
         }
         let all: Vec<HostEntry> = self.hosts.iter().map(|host| host.entry.clone()).collect();
         let zone = self.hosts[index].entry.zone.clone();
-        let guides = relay::guides_of(all.into_iter(), &zone);
-        self.hosts[index].choice.set_hosts(guides.iter());
+        let starting_points = relay::starting_points(all.into_iter(), &zone);
+        self.hosts[index].choice.set_hosts(starting_points.iter());
         self.hosts[index].busy_until = self.now;
     }
 
@@ -447,7 +448,7 @@
         }
         if !self.hosts[head].is_lost {
             let now = self.local_now(index);
-            self.hosts[index].choice.note_store_back(now);
+            self.hosts[index].choice.note_store_recovered(now);
         }
         let known = &mut self.hosts[head].newest;
         if known.is_none_or(|(_, at)| confirmed > at) {
--- a/tests/relay_news.rs
+++ b/tests/relay_news.rs
@@ -1,7 +1,7 @@
 //! Who reads the store, and whom each host asks.
 
 use {
-    bayplank::relay::{self, HostEntry, NewsSource, SourceChoice, SourceRules},
+    bayplank::relay::{self, HostEntry, SourceSelector, SourceSettings, UpdateSource},
     faststr::FastStr,
     std::{
         collections::{BTreeMap, BTreeSet},
@@ -34,14 +34,14 @@
 /// How long a host of the tests waits for others at its start.
 const START_PATIENCE: Duration = Duration::from_millis(500);
 
-fn choice_of(own: &str, hosts: &[HostEntry]) -> SourceChoice {
+fn choice_of(own: &str, hosts: &[HostEntry]) -> SourceSelector {
     let zone = hosts.iter().find(|entry| entry.name == own);
-    let mut choice = SourceChoice::new(SourceRules {
+    let mut choice = SourceSelector::new(SourceSettings {
         own: FastStr::new(own),
         zone: zone.map_or("z-a".into(), |entry| entry.zone.clone()),
-        old_news: OLD_NEWS,
-        start_patience: START_PATIENCE,
-        told_patience: 2 * START_PATIENCE,
+        stale_age: OLD_NEWS,
+        start_wait: START_PATIENCE,
+        seed_wait: 2 * START_PATIENCE,
     });
     choice.set_hosts(hosts.iter());
     choice
@@ -59,8 +59,8 @@
     let mut followed = BTreeMap::new();
     for entry in hosts {
         let mut choice = choice_of(&entry.name, hosts);
-        choice.note_heard("", now);
-        if let NewsSource::Host(host) = choice.choose(Some(millis(100)), false, now) {
+        choice.note_response("", now);
+        if let UpdateSource::Host(host) = choice.choose(Some(millis(100)), false, now) {
             followed.insert(entry.name.clone(), host.name);
         }
     }
@@ -134,21 +134,27 @@
 
 #[test]
 fn news_are_old_in_time_for_an_own_reading() {
-    assert_eq!(relay::old_news(millis(2_000)), OLD_NEWS);
-    assert_eq!(relay::old_news(millis(3_000)), millis(1_800));
-    assert_eq!(relay::old_news(Duration::ZERO), millis(1_000));
+    assert_eq!(relay::stale_age(millis(2_000)), OLD_NEWS);
+    assert_eq!(relay::stale_age(millis(3_000)), millis(1_800));
+    assert_eq!(relay::stale_age(Duration::ZERO), millis(1_000));
 }
 
 #[test]
 fn a_host_that_was_just_started_asks_others_and_the_store_only_when_that_takes_too_long() {
     let mut alone = choice_of("h-1", &[]);
-    assert_eq!(alone.choose(None, false, millis(1)), NewsSource::Seeds);
-    assert_eq!(alone.choose(None, false, START_PATIENCE), NewsSource::Store);
-    alone.note_seed();
-    assert_eq!(alone.choose(None, false, START_PATIENCE), NewsSource::Seeds);
+    assert_eq!(alone.choose(None, false, millis(1)), UpdateSource::Seeds);
+    assert_eq!(
+        alone.choose(None, false, START_PATIENCE),
+        UpdateSource::Store
+    );
+    alone.note_seed_response();
+    assert_eq!(
+        alone.choose(None, false, START_PATIENCE),
+        UpdateSource::Seeds
+    );
     assert_eq!(
         alone.choose(None, false, 2 * START_PATIENCE),
-        NewsSource::Store
+        UpdateSource::Store
     );
     let hosts = zone(4);
     let head = &readers(&hosts, Duration::ZERO)[0];
@@ -156,15 +162,15 @@
     let mut choice = choice_of(&other.name, &hosts);
     for age in [None, Some(millis(20))] {
         let next = choice.choose(age, false, millis(30));
-        assert!(matches!(next, NewsSource::Host(entry) if entry.name == *head));
+        assert!(matches!(next, UpdateSource::Host(entry) if entry.name == *head));
     }
     assert_eq!(
         choice.choose(None, false, START_PATIENCE),
-        NewsSource::Store
+        UpdateSource::Store
     );
     assert_eq!(
         choice_of(head, &hosts).choose(None, false, millis(1)),
-        NewsSource::Store
+        UpdateSource::Store
     );
 }
 
@@ -177,9 +183,9 @@
         let mut trying = 0;
         for own in hosts.iter().filter(|entry| entry.name != head) {
             let mut choice = choice_of(&own.name, &hosts);
-            choice.note_heard(&head, millis(9_000));
+            choice.note_response(&head, millis(9_000));
             match choice.choose(Some(millis(age)), false, millis(9_100)) {
-                NewsSource::Host(entry) => assert_eq!(entry.name, before[&own.name]),
+                UpdateSource::Host(entry) => assert_eq!(entry.name, before[&own.name]),
                 _ => trying += 1,
             }
         }
@@ -196,8 +202,8 @@
     for age in (3_000..60_000).step_by(1_000) {
         for own in hosts.iter().filter(|entry| entry.name != head) {
             let mut choice = choice_of(&own.name, &hosts);
-            choice.note_heard(&head, millis(age));
-            if choice.choose(Some(millis(age)), false, millis(age)) == NewsSource::Store {
+            choice.note_response(&head, millis(age));
+            if choice.choose(Some(millis(age)), false, millis(age)) == UpdateSource::Store {
                 tried.insert(own.name.clone());
                 served = Some((choice, age));
             }
@@ -209,15 +215,15 @@
     let (mut choice, at) = served.unwrap();
     for later in [300, 2_000, 5_000] {
         let next = choice.choose(Some(millis(10)), true, millis(at + later));
-        assert_eq!(next, NewsSource::Store, "after {later} ms");
+        assert_eq!(next, UpdateSource::Store, "after {later} ms");
         assert!(choice.is_served(millis(at + later)));
     }
-    choice.note_store_back(millis(at + 5_100));
+    choice.note_store_recovered(millis(at + 5_100));
     let next = choice.choose(Some(millis(10)), false, millis(at + 5_110));
-    assert!(matches!(next, NewsSource::Host(_)));
-    choice.note_heard(&head, millis(at + 7_600));
+    assert!(matches!(next, UpdateSource::Host(_)));
+    choice.note_response(&head, millis(at + 7_600));
     let again = choice.choose(Some(millis(2_300)), false, millis(at + 7_600));
-    assert_eq!(again, NewsSource::Store);
+    assert_eq!(again, UpdateSource::Store);
     // Where the store falls silent to it too, it follows after its turn.
     assert!(!choice.is_served(millis(at + 7_600)));
 }
@@ -228,7 +234,7 @@
     let mut choice = choice_of("h-1", &hosts);
     assert_eq!(
         choice.choose(Some(millis(1)), false, millis(1)),
-        NewsSource::Store
+        UpdateSource::Store
     );
 }
 
@@ -239,22 +245,22 @@
     let other = hosts.iter().find(|entry| entry.name != head).unwrap();
     let mut choice = choice_of(&other.name, &hosts);
     let fresh = Some(millis(300));
-    choice.note_heard(&head, millis(600));
+    choice.note_response(&head, millis(600));
     assert_ne!(
         choice.choose(fresh, false, millis(1_000)),
-        NewsSource::Store
+        UpdateSource::Store
     );
     assert_eq!(
         choice.choose(fresh, false, millis(2_000)),
-        NewsSource::Store
+        UpdateSource::Store
     );
     assert_eq!(
         choice.choose(fresh, false, millis(3_900)),
-        NewsSource::Store
+        UpdateSource::Store
     );
     assert_ne!(
         choice.choose(fresh, false, millis(4_100)),
-        NewsSource::Store
+        UpdateSource::Store
     );
 }
 
@@ -269,8 +275,8 @@
             .map(|entry| choice_of(&entry.name, &hosts))
             .collect();
         for choice in &mut choices {
-            choice.note_silent(&reader, millis(0));
-            choice.note_silent(&reader, millis(2_000));
+            choice.note_timeout(&reader, millis(0));
+            choice.note_timeout(&reader, millis(2_000));
         }
         choices
             .iter()
@@ -297,7 +303,7 @@
     let reading = left.iter().filter(|entry| {
         let mut choice = choice_of(&entry.name, &fleet);
         for gone in &lost {
-            choice.note_silent(&gone.name, now);
+            choice.note_timeout(&gone.name, now);
         }
         choice.is_reader(now)
     });
@@ -309,7 +315,7 @@
     let fleet = zones(5, 59);
     let followed = followed(&fleet, millis(9_000));
     for entry in fleet.iter().step_by(7) {
-        let guides = relay::guides_of(fleet.iter().cloned(), &entry.zone);
+        let guides = relay::starting_points(fleet.iter().cloned(), &entry.zone);
         assert!(guides.len() <= 6);
         let Some(named) = followed.get(&entry.name) else {
             continue;
@@ -338,12 +344,12 @@
         .expect("half of them follow the standby");
     let mut choice = choice_of(&follower, &hosts);
     assert_eq!(choice.head(now).unwrap().name, head);
-    choice.note_unreported(&head, now);
+    choice.note_report_failed(&head, now);
     assert_eq!(choice.head(now).unwrap().name, standby);
     // It still follows whom it followed, and tries the head again later.
-    choice.note_heard("", now);
+    choice.note_response("", now);
     let source = choice.choose(Some(millis(100)), false, now);
-    assert_eq!(source, NewsSource::Host(ordered[1].clone()));
+    assert_eq!(source, UpdateSource::Host(ordered[1].clone()));
     assert_eq!(choice.head(now + millis(2_000)).unwrap().name, head);
 }
 
@@ -353,16 +359,16 @@
     let head = readers(&hosts, Duration::ZERO).remove(0);
     let other = hosts.iter().find(|entry| entry.name != head).unwrap();
     let mut choice = choice_of(&other.name, &hosts);
-    let follows_head = |choice: &mut SourceChoice, at: u64| {
-        choice.note_heard("", millis(at));
+    let follows_head = |choice: &mut SourceSelector, at: u64| {
+        choice.note_response("", millis(at));
         let next = choice.choose(Some(millis(100)), false, millis(at));
-        matches!(next, NewsSource::Host(entry) if entry.name == head)
+        matches!(next, UpdateSource::Host(entry) if entry.name == head)
     };
     assert!(follows_head(&mut choice, 1_000));
-    choice.note_unknowing(&head, millis(1_000));
+    choice.note_without_data(&head, millis(1_000));
     assert!(!follows_head(&mut choice, 1_900));
     assert!(follows_head(&mut choice, 2_000), "it may know by now");
-    choice.note_silent(&head, millis(2_000));
+    choice.note_timeout(&head, millis(2_000));
     assert!(!follows_head(&mut choice, 3_900));
     assert!(follows_head(&mut choice, 4_000));
 }
@@ -370,7 +376,7 @@
 #[test]
 fn news_are_old_at_the_age_at_which_others_are_asked() {
     let choice = choice_of("h-1", &zone(4));
-    assert!(!choice.is_old(None));
-    assert!(!choice.is_old(Some(OLD_NEWS - millis(1))));
-    assert!(choice.is_old(Some(OLD_NEWS)));
+    assert!(!choice.is_stale(None));
+    assert!(!choice.is_stale(Some(OLD_NEWS - millis(1))));
+    assert!(choice.is_stale(Some(OLD_NEWS)));
 }
