--- a/src/host/passing.rs
+++ b/src/host/passing.rs
@@ -9,7 +9,7 @@
         account::{KeyRules, LimitTolerance},
         control::ControlSnapshot,
         operation::OnceSignal,
-        relay::{self, HostEntry, RelayBounds, RelayParts, RelaySettings, RetryAllowance},
+        relay::{self, HostEntry, RelayBounds, RelayParts, RelaySettings, RetryBudget},
         store::StorePosition,
         web::{self, IngressLimits, PoolSettings},
     },
@@ -138,7 +138,7 @@
                 apply_time: Duration::MAX,
             },
             limits: LimitTolerance::NONE,
-            retries: RetryAllowance {
+            retries: RetryBudget {
                 share: settings.retry_share,
                 extra: REPEATS_EXTRA,
                 window: REPEATS_WINDOW,
--- a/src/relay/parts/shared.rs
+++ b/src/relay/parts/shared.rs
@@ -21,7 +21,7 @@
             belief::cluster::ClusterState,
             dialect::{BackendCall, CallDialect},
             policy::{
-                book::BackendRegistry, budget::WindowBudget, kept::KeptPrompts,
+                book::BackendRegistry, budget::RetryWindow, kept::KeptPrompts,
                 limit_book::LimitBook, line::WaitQueue, route::RouteTable, view::BackendFailure,
                 waited::CallerWaits,
             },
@@ -64,7 +64,7 @@
     /// What the store says.
     pub cluster: RefCell<ClusterState>,
     /// Repeats by service.
-    pub budgets: RefCell<HashMap<FastStr, WindowBudget>>,
+    pub budgets: RefCell<HashMap<FastStr, RetryWindow>>,
     /// What the other hosts count by service.
     pub(super) others: RefCell<OthersDemand>,
     /// The use of client accounts.
--- a/src/relay/parts/shares.rs
+++ b/src/relay/parts/shares.rs
@@ -8,7 +8,7 @@
             backend::BackendInfo,
             policy::{
                 book::PEER_LOAD_TTL,
-                budget::{DemandCounts, FleetDemand, RetryAllowance, WindowBudget},
+                budget::{FleetDemand, RetryBudget, RetryCounts, RetryWindow},
                 loads::{EngineKey, LoadReport, ServiceDemand},
             },
         },
@@ -42,13 +42,13 @@
 
 impl OthersDemand {
     // None where it was told too long ago.
-    fn of(&self, service: &str, now: Duration) -> Option<DemandCounts> {
+    fn of(&self, service: &str, now: Duration) -> Option<RetryCounts> {
         let mut recent = self.demands.iter();
         let known = recent.find(|demand| demand.service == service)?;
         let is_recent = now.saturating_sub(self.told) < PEER_LOAD_TTL;
-        is_recent.then_some(DemandCounts {
+        is_recent.then_some(RetryCounts {
             requests: known.requests,
-            repeats: known.retries,
+            retries: known.retries,
         })
     }
 }
@@ -60,7 +60,7 @@
         let mut budgets = self.budgets.borrow_mut();
         let window = self.allowance().window;
         let budget = budgets.entry(service.clone()).or_default();
-        budget.earn(window, now);
+        budget.count_request(window, now);
     }
 
     /// Whether a request for any service has come yet.
@@ -70,18 +70,18 @@
 
     /// Whether one repeat more may be sent to a service; if so, it is counted.
     pub fn spend_repeat(&self, service: &FastStr) -> bool {
-        self.spend(service, WindowBudget::allows)
+        self.spend(service, RetryWindow::allows_retry)
     }
 
     /// The same for a repeat without which part of an answer is lost that its caller has already.
     pub fn spend_dear_repeat(&self, service: &FastStr) -> bool {
-        self.spend(service, WindowBudget::may_risk)
+        self.spend(service, RetryWindow::allows_speculative)
     }
 
     fn spend(
         &self,
         service: &FastStr,
-        allows: fn(&mut WindowBudget, RetryAllowance, &FleetDemand, Duration) -> bool,
+        allows: fn(&mut RetryWindow, RetryBudget, &FleetDemand, Duration) -> bool,
     ) -> bool {
         let now = self.now();
         let fleet = self.fleet_demand(service);
@@ -89,7 +89,7 @@
         let budget = budgets.entry(service.clone()).or_default();
         let allowed = allows(budget, self.allowance(), &fleet, now);
         if allowed {
-            budget.count(now);
+            budget.count_retry(now);
             self.metrics.repeats.inc();
         }
         allowed
@@ -101,27 +101,27 @@
         let fleet = self.fleet_demand(service);
         let mut budgets = self.budgets.borrow_mut();
         let budget = budgets.entry(service.clone()).or_default();
-        budget.may_risk(self.allowance(), &fleet, now)
+        budget.allows_speculative(self.allowance(), &fleet, now)
     }
 
     /// Counts a repeat that was sent already: a prefill that an engine did not do.
     pub fn count_repeat(&self, service: &FastStr) {
         let now = self.now();
         let mut budgets = self.budgets.borrow_mut();
-        budgets.entry(service.clone()).or_default().count(now);
+        budgets.entry(service.clone()).or_default().count_retry(now);
         self.metrics.repeats.inc();
     }
 
     // A host that knows no hosts yet, not even itself, is one of an unknown number: after the loss of all of
     // them each would take the whole allowance for its own.
-    fn allowance(&self) -> RetryAllowance {
+    fn allowance(&self) -> RetryBudget {
         let whole = self.settings.bounds.retries;
         let is_known = self.cluster.borrow().hosts().next().is_some();
         let extra = match is_known {
             true => whole.extra,
             false => whole.extra.min(EXTRA_UNKNOWN),
         };
-        RetryAllowance { extra, ..whole }
+        RetryBudget { extra, ..whole }
     }
 
     /// Where a request to a backend server goes, and this host's share of the connections there.
@@ -174,7 +174,7 @@
             ServiceDemand {
                 service: service.clone(),
                 requests: counts.requests,
-                retries: counts.repeats,
+                retries: counts.retries,
             }
         });
         LoadReport {
--- a/src/relay/policy/budget.rs
+++ b/src/relay/policy/budget.rs
@@ -29,7 +29,7 @@
 
 /// Retry budget of a service for all hosts together.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RetryAllowance {
+pub struct RetryBudget {
     /// Retries allowed per request in the window.
     pub share: f64,
     /// Retries allowed in addition, for all hosts together.
@@ -40,26 +40,26 @@
 
 /// Counts a service's requests and retries at this host in a sliding window.
 #[derive(Debug, Default)]
-pub struct WindowBudget {
+pub struct RetryWindow {
     requests: VecDeque<Duration>,
-    repeats: VecDeque<Duration>,
+    retries: VecDeque<Duration>,
 }
 
-impl WindowBudget {
+impl RetryWindow {
     /// Records a request for the service.
-    pub fn earn(&mut self, window: Duration, now: Duration) {
+    pub fn count_request(&mut self, window: Duration, now: Duration) {
         self.forget(window, now);
         self.requests.push_back(now);
     }
 
     /// Number of entries kept in the window.
-    pub fn remembered(&self) -> usize {
-        self.requests.len() + self.repeats.len()
+    pub fn entry_count(&self) -> usize {
+        self.requests.len() + self.retries.len()
     }
 
     fn forget(&mut self, window: Duration, now: Duration) {
         let since = now.saturating_sub(window);
-        for times in [&mut self.requests, &mut self.repeats] {
+        for times in [&mut self.requests, &mut self.retries] {
             while times.front().is_some_and(|at| *at < since) {
                 times.pop_front();
             }
@@ -67,62 +67,62 @@
     }
 
     /// Records a retry, allowed or not.
-    pub fn count(&mut self, now: Duration) {
-        self.repeats.push_back(now);
+    pub fn count_retry(&mut self, now: Duration) {
+        self.retries.push_back(now);
     }
 
     /// This host's requests and retries in the window.
-    pub fn counts(&mut self, window: Duration, now: Duration) -> DemandCounts {
+    pub fn counts(&mut self, window: Duration, now: Duration) -> RetryCounts {
         self.forget(window, now);
-        DemandCounts {
+        RetryCounts {
             requests: self.requests.len() as u64,
-            repeats: self.repeats.len() as u64,
+            retries: self.retries.len() as u64,
         }
     }
 
     /// Whether this host may send one more retry.
-    pub fn allows(
+    pub fn allows_retry(
         &mut self,
-        allowance: RetryAllowance,
+        budget: RetryBudget,
         fleet: &FleetDemand,
         now: Duration,
     ) -> bool {
-        self.is_within(PLANNED_FRACTION, allowance, fleet, now)
+        self.is_within(PLANNED_FRACTION, budget, fleet, now)
     }
 
     /// Whether this host may make an attempt that counts as a retry only if it fails, or a retry that saves more work
     /// than it costs.
-    pub fn may_risk(
+    pub fn allows_speculative(
         &mut self,
-        allowance: RetryAllowance,
+        budget: RetryBudget,
         fleet: &FleetDemand,
         now: Duration,
     ) -> bool {
-        self.is_within(SPECULATIVE_FRACTION, allowance, fleet, now)
+        self.is_within(SPECULATIVE_FRACTION, budget, fleet, now)
     }
 
     fn is_within(
         &mut self,
         fraction: f64,
-        allowance: RetryAllowance,
+        budget: RetryBudget,
         fleet: &FleetDemand,
         now: Duration,
     ) -> bool {
-        let own = self.counts(allowance.window, now);
+        let own = self.counts(budget.window, now);
         let share = fleet.share(own.requests);
-        let earned = allowance.share * own.requests as f64 + allowance.extra * share;
-        let next = (own.repeats + 1) as f64;
-        if now < allowance.window {
+        let earned = budget.share * own.requests as f64 + budget.extra * share;
+        let next = (own.retries + 1) as f64;
+        if now < budget.window {
             return next <= RESTART_FACTOR * fraction * earned;
         }
-        next <= fraction * earned || self.may_pool(own, allowance, fleet, now)
+        next <= fraction * earned || self.may_pool(own, budget, fleet, now)
     }
 
     // Whether the retry fits into this host's share of the budget that other hosts leave unused in this period.
     fn may_pool(
         &self,
-        own: DemandCounts,
-        allowance: RetryAllowance,
+        own: RetryCounts,
+        budget: RetryBudget,
         fleet: &FleetDemand,
         now: Duration,
     ) -> bool {
@@ -130,21 +130,21 @@
             return false;
         };
         let requests = (own.requests + others.requests) as f64;
-        let spent = (own.repeats + others.repeats) as f64;
-        let left = POOLED_FRACTION * (allowance.share * requests + allowance.extra) - spent;
+        let spent = (own.retries + others.retries) as f64;
+        let left = POOLED_FRACTION * (budget.share * requests + budget.extra) - spent;
         let since = now.saturating_sub(POOL_PERIOD);
-        let in_period = self.repeats.iter().rev().take_while(|at| **at >= since);
+        let in_period = self.retries.iter().rev().take_while(|at| **at >= since);
         (in_period.count() + 1) as f64 <= POOL_STEP * left * fleet.share(own.requests)
     }
 }
 
 /// Requests for a service and retries of them in the window.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct DemandCounts {
+pub struct RetryCounts {
     /// Requests.
     pub requests: u64,
     /// Repeats.
-    pub repeats: u64,
+    pub retries: u64,
 }
 
 /// What a host knows of all hosts that share the budget.
@@ -153,7 +153,7 @@
     /// Number of hosts, including this one.
     pub hosts: usize,
     /// Sum of the other hosts' counts, if reported recently.
-    pub others: Option<DemandCounts>,
+    pub others: Option<RetryCounts>,
 }
 
 impl FleetDemand {
--- a/src/relay/settings.rs
+++ b/src/relay/settings.rs
@@ -1,7 +1,7 @@
 //! Settings of a host that passes requests through.
 
 use {
-    super::policy::budget::RetryAllowance,
+    super::policy::budget::RetryBudget,
     crate::{
         account::{KeyRules, LimitTolerance},
         web::PoolSettings,
@@ -48,7 +48,7 @@
 #[derive(Debug, Clone)]
 pub struct RelayBounds {
     /// Sends beyond the first of each request, by all hosts together.
-    pub retries: RetryAllowance,
+    pub retries: RetryBudget,
     /// Time within which a change of the configuration or of the servers has to be in force.
     pub change_time: Duration,
     /// How often backend servers renew their entries in the store.
--- a/tests/relay_budget.rs
+++ b/tests/relay_budget.rs
@@ -1,7 +1,7 @@
 //! Retry budget of a single host and of all hosts together.
 
 use {
-    bayplank::relay::{DemandCounts, FleetDemand, RetryAllowance, WindowBudget},
+    bayplank::relay::{FleetDemand, RetryBudget, RetryCounts, RetryWindow},
     bolero::check,
     std::time::Duration,
 };
@@ -13,7 +13,7 @@
 #[test]
 fn retries_stay_within_the_hosts_share_of_the_window() {
     check!().with_type::<Vec<(u8, bool)>>().for_each(|steps| {
-        let allowance = RetryAllowance {
+        let allowance = RetryBudget {
             share: 0.2,
             extra: 58.0,
             window: millis(10_000),
@@ -22,35 +22,35 @@
             hosts: 9,
             others: None,
         };
-        let (mut budget, mut now) = (WindowBudget::default(), Duration::ZERO);
-        let (mut requests, mut repeats) = (Vec::new(), Vec::new());
+        let (mut budget, mut now) = (RetryWindow::default(), Duration::ZERO);
+        let (mut requests, mut retries) = (Vec::new(), Vec::new());
         for (pause, is_request) in steps {
             now += millis(u64::from(*pause) * 10);
             if *is_request {
-                budget.earn(allowance.window, now);
+                budget.count_request(allowance.window, now);
                 requests.push(now);
-            } else if budget.allows(allowance, &alone, now) {
-                budget.count(now);
-                repeats.push(now);
+            } else if budget.allows_retry(allowance, &alone, now) {
+                budget.count_retry(now);
+                retries.push(now);
             }
             let recent = |times: &[Duration]| {
                 let since = now.saturating_sub(allowance.window);
                 times.iter().filter(|at| **at >= since).count() as f64
             };
             let most = 0.2 * recent(&requests) + 58.0 / 9.0;
-            assert!(recent(&repeats) <= most);
+            assert!(recent(&retries) <= most);
         }
     });
 }
 
 // Hosts that share a retry budget and receive each other's counts after a lag.
 struct BudgetFleet {
-    allowance: RetryAllowance,
-    budgets: Vec<WindowBudget>,
+    allowance: RetryBudget,
+    budgets: Vec<RetryWindow>,
     // Counts of all hosts at each step.
-    reported: Vec<Vec<DemandCounts>>,
+    reported: Vec<Vec<RetryCounts>>,
     requests: Vec<Duration>,
-    repeats: Vec<Duration>,
+    retries: Vec<Duration>,
 }
 
 impl BudgetFleet {
@@ -59,15 +59,15 @@
 
     fn new() -> Self {
         Self {
-            allowance: RetryAllowance {
+            allowance: RetryBudget {
                 share: 0.2,
                 extra: 58.0,
                 window: millis(10_000),
             },
-            budgets: (0..Self::HOSTS).map(|_| WindowBudget::default()).collect(),
+            budgets: (0..Self::HOSTS).map(|_| RetryWindow::default()).collect(),
             reported: Vec::new(),
             requests: Vec::new(),
-            repeats: Vec::new(),
+            retries: Vec::new(),
         }
     }
 
@@ -77,9 +77,9 @@
         let others = seen.map(|step| {
             let counts = self.reported[step].iter().enumerate();
             let others = counts.filter(|(other, _)| *other != host);
-            others.fold(DemandCounts::default(), |sum, (_, one)| DemandCounts {
+            others.fold(RetryCounts::default(), |sum, (_, one)| RetryCounts {
                 requests: sum.requests + one.requests,
-                repeats: sum.repeats + one.repeats,
+                retries: sum.retries + one.retries,
             })
         });
         FleetDemand {
@@ -95,14 +95,14 @@
             let fleet = self.fleet(host, lag);
             let budget = &mut self.budgets[host];
             if active & (1 << host) != 0 {
-                budget.earn(self.allowance.window, now);
+                budget.count_request(self.allowance.window, now);
                 self.requests.push(now);
             }
             let wanted = if retrying & (1 << host) != 0 { 6 } else { 0 };
             for _ in 0..wanted {
-                if budget.allows(self.allowance, &fleet, now) {
-                    budget.count(now);
-                    self.repeats.push(now);
+                if budget.allows_retry(self.allowance, &fleet, now) {
+                    budget.count_retry(now);
+                    self.retries.push(now);
                 }
             }
         }
@@ -125,9 +125,9 @@
         let ends = [now, now - window / 2, now - window];
         let requests = ends.map(|end| Self::recent(&self.requests, end, window));
         let requests = requests.into_iter().max().unwrap_or_default() as f64;
-        let repeats = Self::recent(&self.repeats, now, window) as f64;
+        let retries = Self::recent(&self.retries, now, window) as f64;
         let most = self.allowance.share * requests + self.allowance.extra;
-        assert!(repeats <= most, "{repeats} repeats of {most} at {now:?}");
+        assert!(retries <= most, "{retries} retries of {most} at {now:?}");
     }
 }
 
@@ -157,7 +157,7 @@
         fleet.step(0xfff, 1, 1, now);
         fleet.assert_within(now);
     }
-    let taken = fleet.repeats.len() as f64;
+    let taken = fleet.retries.len() as f64;
     assert!(taken > 2.0 * alone, "{taken}, alone {alone}");
 }
 
@@ -169,10 +169,10 @@
         others: None,
     };
     let allowed = |start: Duration| {
-        let mut budget = WindowBudget::default();
+        let mut budget = RetryWindow::default();
         let mut count = 0;
-        while budget.allows(allowance, &alone, start) {
-            budget.count(start);
+        while budget.allows_retry(allowance, &alone, start) {
+            budget.count_retry(start);
             count += 1;
         }
         count
@@ -182,14 +182,14 @@
 
 #[test]
 fn an_idle_budget_keeps_only_the_entries_of_its_window() {
-    let allowance = RetryAllowance {
+    let allowance = RetryBudget {
         share: 0.2,
         extra: 58.0,
         window: millis(10_000),
     };
-    let mut budget = WindowBudget::default();
+    let mut budget = RetryWindow::default();
     for second in 0..1_000 {
-        budget.earn(allowance.window, millis(second * 1_000));
+        budget.count_request(allowance.window, millis(second * 1_000));
     }
-    assert!(budget.remembered() <= 11, "{}", budget.remembered());
+    assert!(budget.entry_count() <= 11, "{}", budget.entry_count());
 }
