--- a/src/relay/parts/publish.rs
+++ b/src/relay/parts/publish.rs
@@ -37,7 +37,7 @@
         let usable = self.cluster.borrow().usable();
         let count = usable.len();
         let changes = self.book.borrow_mut().set_backends(usable);
-        for earlier in &changes.started {
+        for earlier in &changes.restarted {
             self.kept.borrow_mut().forget(&earlier.id);
             self.pool.forget(earlier.address);
         }
@@ -89,10 +89,10 @@
                 ("age_ms", &age.map_or(-1, |age| age.as_millis() as i64)),
                 ("backends", &count),
                 ("added", &changes.added),
-                ("started", &changes.started.len()),
+                ("started", &changes.restarted.len()),
                 ("leaving", &short_list(&changes.leaving)),
-                ("other_role", &short_list(&changes.other_role)),
-                ("gone", &short_list(&changes.gone)),
+                ("other_role", &short_list(&changes.role_changed)),
+                ("gone", &short_list(&changes.removed)),
             ],
         );
     }
--- a/src/relay/parts/shared.rs
+++ b/src/relay/parts/shared.rs
@@ -21,9 +21,9 @@
             belief::cluster::ClusterState,
             dialect::{BackendCall, CallDialect},
             policy::{
-                book::BackendRegistry, budget::RetryWindow, kept::KeptPrompts,
+                book::BackendRegistry, budget::RetryWindow, kept::PromptCacheIndex,
                 limit_book::LimitBook, line::WaitQueue, route::RouteTable, view::BackendFailure,
-                waited::CallerWaits,
+                waited::CallerTimeouts,
             },
             settings::RelaySettings,
         },
@@ -60,7 +60,7 @@
     /// What is known of them.
     pub book: RefCell<BackendRegistry>,
     /// What engines keep of prompts that they read.
-    pub kept: RefCell<KeptPrompts>,
+    pub kept: RefCell<PromptCacheIndex>,
     /// What the store says.
     pub cluster: RefCell<ClusterState>,
     /// Repeats by service.
@@ -78,7 +78,7 @@
     /// Turns at these.
     pub permits: PermitGate,
     /// How long callers say that they will wait.
-    pub waits: RefCell<CallerWaits>,
+    pub waits: RefCell<CallerTimeouts>,
     /// Requests that wait for engines.
     pub line: RefCell<WaitQueue>,
     /// Told when memory or a place in the line may have become free.
--- a/src/relay/policy/book.rs
+++ b/src/relay/policy/book.rs
@@ -116,7 +116,7 @@
             };
             self.views.insert(view.info.id.clone(), view);
         }
-        changes.gone = known.into_keys().collect();
+        changes.removed = known.into_keys().collect();
         changes
     }
 
--- a/src/relay/policy/changes.rs
+++ b/src/relay/policy/changes.rs
@@ -10,11 +10,11 @@
     /// Servers that began to drain.
     pub leaving: Vec<FastStr>,
     /// Previous runs of the servers that restarted under the same id.
-    pub started: Vec<BackendInfo>,
+    pub restarted: Vec<BackendInfo>,
     /// Servers whose role changed.
-    pub other_role: Vec<FastStr>,
+    pub role_changed: Vec<FastStr>,
     /// Servers that are no longer listed.
-    pub gone: Vec<FastStr>,
+    pub removed: Vec<FastStr>,
 }
 
 impl BackendChanges {
@@ -29,8 +29,8 @@
         }
         match before {
             None => self.added += 1,
-            Some(before) if before.born != now.born => self.started.push(before.clone()),
-            Some(before) if before.role != now.role => self.other_role.push(now.id.clone()),
+            Some(before) if before.born != now.born => self.restarted.push(before.clone()),
+            Some(before) if before.role != now.role => self.role_changed.push(now.id.clone()),
             Some(_) => {}
         }
     }
--- a/src/relay/policy/kept.rs
+++ b/src/relay/policy/kept.rs
@@ -36,7 +36,7 @@
 
 /// An engine that has part of a prompt in its cache.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct KeptAt {
+pub struct CachedAt {
     /// The engine.
     pub engine: BackendInfo,
     /// Cached tokens of the part, including the answer generated so far, which follows the prompt.
@@ -45,13 +45,13 @@
 
 /// Cached prompts of the decode engines.
 #[derive(Debug, Default)]
-pub struct KeptPrompts {
+pub struct PromptCacheIndex {
     engines: HashMap<FastStr, EngineCache>,
 }
 
-impl KeptPrompts {
+impl PromptCacheIndex {
     /// The query to send to an engine; `None` if its last report is recent enough.
-    pub fn question(&self, engine: &str, now: Duration) -> Option<CacheQuestion> {
+    pub fn query(&self, engine: &str, now: Duration) -> Option<CacheQuestion> {
         let Some(cache) = self.engines.get(engine) else {
             return Some(CacheQuestion::Whole);
         };
@@ -60,7 +60,7 @@
     }
 
     /// Applies an engine's cache report.
-    pub fn take(&mut self, engine: &FastStr, news: CacheNews, now: Duration) {
+    pub fn update(&mut self, engine: &FastStr, news: CacheNews, now: Duration) {
         let known = self.engines.remove(engine);
         let parts = match known {
             Some(known) if known.epoch == news.epoch && !news.is_whole => known.parts,
@@ -81,16 +81,16 @@
     }
 
     /// Tokens of a part that an engine reported as cached.
-    pub fn kept_tokens(&self, engine: &str, part: &str) -> u64 {
+    pub fn cached_tokens(&self, engine: &str, part: &str) -> u64 {
         let cache = self.engines.get(engine);
         let tokens = cache.and_then(|cache| cache.parts.get(part));
         tokens.copied().unwrap_or_default()
     }
 
     /// The engine that caches most tokens of a part, the first one among equals.
-    pub fn best_of(&self, engines: &[BackendInfo], part: &str) -> Option<KeptAt> {
-        let found = engines.iter().rev().map(|engine| KeptAt {
-            tokens: self.kept_tokens(&engine.id, part),
+    pub fn best_of(&self, engines: &[BackendInfo], part: &str) -> Option<CachedAt> {
+        let found = engines.iter().rev().map(|engine| CachedAt {
+            tokens: self.cached_tokens(&engine.id, part),
             engine: engine.clone(),
         });
         let best = found.max_by_key(|found| found.tokens);
--- a/src/relay/policy/waited.rs
+++ b/src/relay/policy/waited.rs
@@ -22,20 +22,20 @@
 
 /// Timeouts of the callers of one route.
 #[derive(Debug, Default)]
-struct RouteWaits {
+struct RouteTimeouts {
     longest: Duration,
     short_share: f64,
 }
 
 /// Timeouts of callers, by route.
 #[derive(Debug, Default)]
-pub struct CallerWaits {
-    routes: HashMap<FastStr, RouteWaits>,
+pub struct CallerTimeouts {
+    routes: HashMap<FastStr, RouteTimeouts>,
 }
 
-impl CallerWaits {
+impl CallerTimeouts {
     /// Records the timeout of a caller of a route and returns the estimated time that it has already waited.
-    pub fn waited(&mut self, route: &FastStr, time_left: Duration) -> Duration {
+    pub fn observe(&mut self, route: &FastStr, time_left: Duration) -> Duration {
         let waits = self.routes.entry(route.clone()).or_default();
         waits.longest = waits.longest.max(time_left);
         let waited = waits.longest - time_left;
--- a/src/relay/request/handler.rs
+++ b/src/relay/request/handler.rs
@@ -124,7 +124,7 @@
         return call;
     };
     let mut waits = parts.waits.borrow_mut();
-    let waited = waits.waited(&call.route.name, left);
+    let waited = waits.observe(&call.route.name, left);
     call.with_waited(waited)
 }
 
--- a/src/relay/request/reserve.rs
+++ b/src/relay/request/reserve.rs
@@ -11,7 +11,7 @@
             parts::{permits::ServerPermit, shared::RelayParts},
             policy::{
                 admission::{self, QueuedRequest},
-                kept::KeptAt,
+                kept::CachedAt,
                 line::QueueKey,
                 room::DecodeExclusions,
             },
@@ -164,7 +164,7 @@
     service: &str,
     since: Duration,
     goes_on: bool,
-    kept: Option<&KeptAt>,
+    kept: Option<&CachedAt>,
 ) -> Result<MemoryHold, Refusal> {
     let tokens = admission::reserved_tokens(&call.marks);
     let rank = call.priority();
@@ -219,7 +219,7 @@
     parts: &Rc<RelayParts>,
     call: &RelayCall,
     service: &str,
-    kept: Option<&KeptAt>,
+    kept: Option<&CachedAt>,
     is_late: bool,
 ) -> Option<MemoryHold> {
     let tokens = admission::reserved_tokens(&call.marks);
--- a/src/relay/request/seek.rs
+++ b/src/relay/request/seek.rs
@@ -1,7 +1,7 @@
 //! Asking decode engines which of them keeps the prompt of a stream that is to go on.
 
 use {
-    crate::relay::{backend::BackendInfo, parts::shared::RelayParts, policy::kept::KeptAt},
+    crate::relay::{backend::BackendInfo, parts::shared::RelayParts, policy::kept::CachedAt},
     futures::future,
     http::StatusCode,
     std::{rc::Rc, time::Duration},
@@ -15,7 +15,7 @@
 const ENGINES_MAX: usize = 24;
 
 /// The decode engine that keeps most of a part of a prompt, of those that answer; the host's own zone first.
-pub async fn find_kept(parts: &Rc<RelayParts>, service: &str, part: &str) -> Option<KeptAt> {
+pub async fn find_kept(parts: &Rc<RelayParts>, service: &str, part: &str) -> Option<CachedAt> {
     let engines = parts.book.borrow().decode_engines(service, parts.now());
     let zone = &parts.settings.zone;
     let (near, far): (Vec<_>, Vec<_>) =
@@ -33,7 +33,7 @@
 
 // Has an engine tell what it keeps, unless it did so a moment ago.
 async fn hear(parts: &Rc<RelayParts>, engine: &BackendInfo) {
-    let Some(question) = parts.kept.borrow().question(&engine.id, parts.now()) else {
+    let Some(question) = parts.kept.borrow().query(&engine.id, parts.now()) else {
         return;
     };
     let engines = &parts.dialect.engines;
@@ -43,7 +43,7 @@
             let news = (engines.read_cache)(question, &body);
             let mut kept = parts.kept.borrow_mut();
             match news {
-                Some(news) => kept.take(&engine.id, news, parts.now()),
+                Some(news) => kept.update(&engine.id, news, parts.now()),
                 None => kept.forget(&engine.id),
             }
         }
--- a/src/relay/request/stream.rs
+++ b/src/relay/request/stream.rs
@@ -22,7 +22,7 @@
             config::RequestKind,
             dialect::DecodeStart,
             parts::shared::RelayParts,
-            policy::{kept::KeptAt, view::BackendFailure},
+            policy::{kept::CachedAt, view::BackendFailure},
         },
         web::PooledBody,
     },
@@ -269,7 +269,7 @@
     }
 
     // Where a stream that goes on was begun, its prompt may still be kept.
-    async fn find_kept(&self, goes_on: bool) -> Option<KeptAt> {
+    async fn find_kept(&self, goes_on: bool) -> Option<CachedAt> {
         let marks = &self.call.marks;
         if !goes_on && marks.last_event.is_none() {
             return None;
--- a/tests/relay_burst.rs
+++ b/tests/relay_burst.rs
@@ -2,7 +2,7 @@
 //! many callers are served in time.
 
 use {
-    bayplank::relay::{self, CallerWaits, QueuedRequest},
+    bayplank::relay::{self, CallerTimeouts, QueuedRequest},
     rand::{RngExt, SeedableRng, rngs::StdRng},
     std::time::Duration,
 };
@@ -64,7 +64,7 @@
 fn simulate(seed: u64, yields: bool) -> Served {
     let mut hosts = StdRng::seed_from_u64(seed + 1_000);
     let mut queues: Vec<Vec<Caller>> = (0..HOSTS).map(|_| Vec::new()).collect();
-    let mut waits: Vec<CallerWaits> = (0..HOSTS).map(|_| CallerWaits::default()).collect();
+    let mut waits: Vec<CallerTimeouts> = (0..HOSTS).map(|_| CallerTimeouts::default()).collect();
     let mut away = arrivals(seed);
     let mut running: Vec<(usize, u64, u64)> = Vec::new();
     let mut served = Served::default();
@@ -76,7 +76,7 @@
             let host = hosts.random_range(0..HOSTS);
             ticket += 1;
             let left = Duration::from_millis(CALLER_TIMEOUT_MS - (now - caller.first));
-            let waited = waits[host].waited(&"route".into(), left);
+            let waited = waits[host].observe(&"route".into(), left);
             caller.waited = if yields { waited } else { Duration::ZERO };
             (caller.arrived, caller.ticket) = (now, ticket);
             queues[host].push(caller);
@@ -148,23 +148,23 @@
 
 #[test]
 fn retrying_callers_are_told_from_callers_with_other_timeouts() {
-    let mut waits = CallerWaits::default();
+    let mut waits = CallerTimeouts::default();
     let route = "route".into();
     let millis = Duration::from_millis;
-    assert_eq!(waits.waited(&route, millis(14_000)), Duration::ZERO);
+    assert_eq!(waits.observe(&route, millis(14_000)), Duration::ZERO);
     assert_eq!(
-        waits.waited(&route, millis(13_996)),
+        waits.observe(&route, millis(13_996)),
         Duration::ZERO,
         "network delay"
     );
-    assert_eq!(waits.waited(&route, millis(11_700)), millis(2_300));
-    let mut mixed = CallerWaits::default();
+    assert_eq!(waits.observe(&route, millis(11_700)), millis(2_300));
+    let mut mixed = CallerTimeouts::default();
     for _ in 0..200 {
-        mixed.waited(&route, millis(14_000));
-        mixed.waited(&route, millis(5_000));
-        mixed.waited(&route, millis(4_000));
+        mixed.observe(&route, millis(14_000));
+        mixed.observe(&route, millis(5_000));
+        mixed.observe(&route, millis(4_000));
     }
-    assert_eq!(mixed.waited(&route, millis(5_000)), Duration::ZERO);
+    assert_eq!(mixed.observe(&route, millis(5_000)), Duration::ZERO);
     mixed.clear();
-    assert_eq!(mixed.waited(&route, millis(5_000)), Duration::ZERO);
+    assert_eq!(mixed.observe(&route, millis(5_000)), Duration::ZERO);
 }
--- a/tests/relay_kept.rs
+++ b/tests/relay_kept.rs
@@ -6,7 +6,7 @@
     crate::backends::backend,
     bayplank::{
         engine::EngineRole,
-        relay::{BackendInfo, CacheChange, CacheNews, CacheQuestion, KeptPrompts},
+        relay::{BackendInfo, CacheChange, CacheNews, CacheQuestion, PromptCacheIndex},
     },
     faststr::FastStr,
     std::{collections::BTreeMap, time::Duration},
@@ -45,27 +45,27 @@
 
 #[test]
 fn an_engine_is_queried_for_its_full_list_then_for_changes_and_not_too_often() {
-    let mut kept = KeptPrompts::default();
+    let mut index = PromptCacheIndex::default();
     let id = FastStr::new("d-1");
-    assert_eq!(kept.question("d-1", millis(0)), Some(CacheQuestion::Whole));
-    kept.take(&id, whole(7, 40, vec![change("p", 3_000)]), millis(5));
-    assert_eq!(kept.question("d-1", millis(100)), None);
-    let later = kept.question("d-1", millis(500));
+    assert_eq!(index.query("d-1", millis(0)), Some(CacheQuestion::Whole));
+    index.update(&id, whole(7, 40, vec![change("p", 3_000)]), millis(5));
+    assert_eq!(index.query("d-1", millis(100)), None);
+    let later = index.query("d-1", millis(500));
     assert_eq!(later, Some(CacheQuestion::Since(40)));
     let changes = vec![change("p", 0), change("q", 2_000)];
-    kept.take(&id, since(7, 42, changes), millis(505));
-    assert_eq!(kept.kept_tokens("d-1", "p"), 0, "evicted meanwhile");
-    assert_eq!(kept.kept_tokens("d-1", "q"), 2_000);
+    index.update(&id, since(7, 42, changes), millis(505));
+    assert_eq!(index.cached_tokens("d-1", "p"), 0, "evicted meanwhile");
+    assert_eq!(index.cached_tokens("d-1", "q"), 2_000);
 }
 
 #[test]
 fn a_restarted_engine_loses_its_cached_prompts() {
-    let mut kept = KeptPrompts::default();
+    let mut index = PromptCacheIndex::default();
     let id = FastStr::new("d-1");
-    kept.take(&id, whole(7, 40, vec![change("p", 3_000)]), millis(0));
-    kept.take(&id, since(8, 2, vec![change("q", 10)]), millis(500));
-    assert_eq!(kept.kept_tokens("d-1", "p"), 0);
-    let question = kept.question("d-1", millis(501));
+    index.update(&id, whole(7, 40, vec![change("p", 3_000)]), millis(0));
+    index.update(&id, since(8, 2, vec![change("q", 10)]), millis(500));
+    assert_eq!(index.cached_tokens("d-1", "p"), 0);
+    let question = index.query("d-1", millis(501));
     assert_eq!(
         question,
         Some(CacheQuestion::Whole),
@@ -75,20 +75,20 @@
 
 #[test]
 fn the_engine_that_caches_most_of_the_prompt_is_chosen() {
-    let mut kept = KeptPrompts::default();
+    let mut index = PromptCacheIndex::default();
     let engines = [decode("d-1"), decode("d-2"), decode("d-3")];
-    assert_eq!(kept.best_of(&engines, "p"), None);
+    assert_eq!(index.best_of(&engines, "p"), None);
     for (id, tokens) in [("d-1", 200), ("d-2", 3_400), ("d-3", 0)] {
-        kept.take(
+        index.update(
             &FastStr::new(id),
             whole(1, 1, vec![change("p", tokens)]),
             millis(0),
         );
     }
-    let best = kept.best_of(&engines, "p").unwrap();
+    let best = index.best_of(&engines, "p").unwrap();
     assert_eq!((best.engine.id.as_str(), best.tokens), ("d-2", 3_400));
-    kept.retain(|id| id != "d-2");
-    let best = kept.best_of(&engines, "p").unwrap();
+    index.retain(|id| id != "d-2");
+    let best = index.best_of(&engines, "p").unwrap();
     assert_eq!(best.engine.id, "d-1");
 }
 
@@ -107,17 +107,17 @@
         let part = change(&format!("p-{stream}"), tokens);
         held.entry(id).or_default().push(part);
     }
-    let mut kept = KeptPrompts::default();
+    let mut index = PromptCacheIndex::default();
     let mut recomputed = 0;
     for stream in 0..STREAMS {
         let now = millis(stream * 20);
         for engine in &engines {
-            if kept.question(&engine.id, now).is_some() {
+            if index.query(&engine.id, now).is_some() {
                 let news = whole(1, 1, held[engine.id.as_str()].clone());
-                kept.take(&engine.id, news, now);
+                index.update(&engine.id, news, now);
             }
         }
-        let found = kept.best_of(&engines, &format!("p-{stream}"));
+        let found = index.best_of(&engines, &format!("p-{stream}"));
         let saved = found.filter(|_| uses_cache).map_or(0, |found| found.tokens);
         recomputed += PROMPT - saved;
     }
--- a/tests/relay_loads.rs
+++ b/tests/relay_loads.rs
@@ -248,7 +248,7 @@
         ..first.clone()
     };
     let changes = book.set_backends(vec![again.clone()]);
-    assert_eq!(changes.started, vec![first.clone()]);
+    assert_eq!(changes.restarted, vec![first.clone()]);
     assert!(book.is_current(&again) && !book.is_current(&first));
     assert!(book.loads(at).is_empty(), "nothing is known of the new run");
     // Reports of other hosts about the earlier run do not apply to the new one.
