--- a/tests/account_keys.rs
+++ b/tests/account_keys.rs
@@ -3,7 +3,7 @@
 mod fleet_sim;
 
 use {
-    crate::fleet_sim::{STEP, SimFleet, SimTrouble},
+    crate::fleet_sim::{STEP, SimFaults, SimFleet},
     bayplank::{
         account::{
             AccountDirectory, ClientAccount, KeyHash, KeyRules, KeyStanding, ShownKey, judge_key,
@@ -143,14 +143,14 @@
 
 // Runs a fleet while its keys change; no host lets a request in by a version older than one that was acknowledged more
 // than the bound before. Gives the share of host steps in which requests were let in.
-fn let_in_share(fleet: &mut SimFleet, trouble: &SimTrouble, changes: &[u64], time: u64) -> f64 {
+fn let_in_share(fleet: &mut SimFleet, trouble: &SimFaults, changes: &[u64], time: u64) -> f64 {
     let_in_since(fleet, trouble, changes, time, &mut Vec::new())
 }
 
 // The same where versions were acknowledged before: each with its time.
 fn let_in_since(
     fleet: &mut SimFleet,
-    trouble: &SimTrouble,
+    trouble: &SimFaults,
     changes: &[u64],
     time: u64,
     acknowledged: &mut Vec<(u64, u64)>,
@@ -186,11 +186,11 @@
     sum.is_multiple_of(3)
 }
 
-const TROUBLES: [(&str, SimTrouble, f64); 5] = [
-    ("calm", fleet_sim::CALM, 0.999),
+const TROUBLES: [(&str, SimFaults, f64); 5] = [
+    ("calm", fleet_sim::NO_FAULTS, 0.999),
     (
         "a third turned away",
-        SimTrouble {
+        SimFaults {
             store: |entry| !is_third(entry),
             path: |_, _| true,
         },
@@ -198,7 +198,7 @@
     ),
     (
         "readers and a third turned away",
-        SimTrouble {
+        SimFaults {
             store: |entry| !is_third(entry) && !entry.name.ends_with("-0"),
             path: |_, _| true,
         },
@@ -206,7 +206,7 @@
     ),
     (
         "the store silent for all",
-        SimTrouble {
+        SimFaults {
             store: |_| false,
             path: |_, _| true,
         },
@@ -214,7 +214,7 @@
     ),
     (
         "a zone cut off, the store on the other side",
-        SimTrouble {
+        SimFaults {
             store: |entry| entry.zone != "z-a",
             path: |from, to| (from.zone == "z-a") == (to.zone == "z-a"),
         },
@@ -234,9 +234,9 @@
                 "{name}, {zones} zones of {hosts}: {share:.3} let in"
             );
             // Afterwards all come back.
-            fleet.time_to_force(&fleet_sim::CALM, 4_000);
-            let_in_share(&mut fleet, &fleet_sim::CALM, &[0, 3_000], 4_000);
-            let share = let_in_share(&mut fleet, &fleet_sim::CALM, &[], 1_000);
+            fleet.time_to_apply(&fleet_sim::NO_FAULTS, 4_000);
+            let_in_share(&mut fleet, &fleet_sim::NO_FAULTS, &[0, 3_000], 4_000);
+            let share = let_in_share(&mut fleet, &fleet_sim::NO_FAULTS, &[], 1_000);
             assert!(share > 0.999, "{name}, afterwards: {share:.3}");
         }
     }
--- a/tests/fleet_sim/crashes.rs
+++ b/tests/fleet_sim/crashes.rs
@@ -1,7 +1,7 @@
 //! Exchange between simulated hosts of the requests that crash servers.
 
 use {
-    super::{PATIENCE, STEP, SimFleet, SimTrouble},
+    super::{PATIENCE, STEP, SimFaults, SimFleet},
     bayplank::relay::{
         CachePosition, CrashBook, CrashJudgement, CrashMark, EngineKey, MarkSource, RequestDigest,
     },
@@ -62,7 +62,7 @@
     }
 
     /// Records that a run of a server crashed while it served a request of a host.
-    pub fn end_under(&mut self, index: usize, digest: u128, run: u32) {
+    pub fn crash_under(&mut self, index: usize, digest: u128, run: u32) {
         let now = self.crash_now();
         let crashes = &mut self.hosts[index].crashes;
         crashes
@@ -72,7 +72,7 @@
     }
 
     /// Whether a host considers a request fatal, that is, one that crashes its servers.
-    pub fn holds_fatal(&self, index: usize, digest: u128) -> bool {
+    pub fn considers_fatal(&self, index: usize, digest: u128) -> bool {
         let book = &self.hosts[index].crashes.book;
         let judgement = book.judge(RequestDigest(digest), self.crash_now());
         matches!(
@@ -85,7 +85,7 @@
     /// long that took.
     pub fn time_to_judge(
         &mut self,
-        trouble: &SimTrouble,
+        faults: &SimFaults,
         digest: u128,
         counts: impl Fn(&str) -> bool,
         bound: u64,
@@ -94,7 +94,7 @@
         loop {
             let unaware = (0..self.hosts.len()).filter(|index| {
                 let host = &self.hosts[*index];
-                host.is_up && counts(&host.entry.zone) && !self.holds_fatal(*index, digest)
+                host.is_up && counts(&host.entry.zone) && !self.considers_fatal(*index, digest)
             });
             let unaware = unaware.count();
             if unaware == 0 {
@@ -104,12 +104,12 @@
                 self.now - start < bound,
                 "{unaware} hosts do not know of the fatal request within {bound} ms"
             );
-            self.run(trouble, STEP);
+            self.run(faults, STEP);
         }
     }
 
     /// Once it knows the other hosts, a starting host queries three of them, one of its own zone, before it is ready.
-    pub(super) fn learn_crashes(&mut self, index: usize, trouble: &SimTrouble) {
+    pub(super) fn learn_crashes(&mut self, index: usize, faults: &SimFaults) {
         if self.hosts[index].crashes.has_learned || !self.hosts[index].knows_hosts {
             return;
         }
@@ -122,7 +122,7 @@
         others.swap(1, self.hosts.len() - 2);
         for other in others.into_iter().take(3) {
             let entry = &self.hosts[other].entry;
-            if self.hosts[other].is_up && (trouble.path)(&own, entry) {
+            if self.hosts[other].is_up && (faults.path)(&own, entry) {
                 self.take_crashes(index, other);
             }
         }
@@ -146,7 +146,7 @@
         crashes.positions.insert(from, news.place);
     }
 
-    pub(super) fn report_crashes(&mut self, index: usize, trouble: &SimTrouble) {
+    pub(super) fn report_crashes(&mut self, index: usize, faults: &SimFaults) {
         if self.now < self.hosts[index].crashes.next_look || !self.hosts[index].knows_hosts {
             return;
         }
@@ -162,7 +162,7 @@
         });
         let mut all_reported = true;
         for (name, to, is_zone) in targets {
-            all_reported &= self.report_crashes_to(index, name, to, is_zone, trouble);
+            all_reported &= self.report_crashes_to(index, name, to, is_zone, faults);
         }
         let pause = match all_reported {
             true => LOOK,
@@ -206,7 +206,7 @@
         name: FastStr,
         to: usize,
         is_zone: bool,
-        trouble: &SimTrouble,
+        faults: &SimFaults,
     ) -> bool {
         let now = self.crash_now();
         let crashes = &self.hosts[index].crashes;
@@ -223,7 +223,7 @@
             return true;
         }
         let (from, other) = (&self.hosts[index].entry, &self.hosts[to]);
-        let is_reachable = other.is_up && (trouble.path)(from, &other.entry);
+        let is_reachable = other.is_up && (faults.path)(from, &other.entry);
         if !is_reachable {
             let local = self.local_now(index);
             let host = &mut self.hosts[index];
--- a/tests/fleet_sim/mod.rs
+++ b/tests/fleet_sim/mod.rs
@@ -69,12 +69,12 @@
 }
 
 /// Faults: which hosts the store serves, and which hosts can reach each other.
-pub struct SimTrouble {
+pub struct SimFaults {
     pub store: fn(&HostEntry) -> bool,
     pub path: fn(&HostEntry, &HostEntry) -> bool,
 }
 
-pub const CALM: SimTrouble = SimTrouble {
+pub const NO_FAULTS: SimFaults = SimFaults {
     store: |_| true,
     path: |_, _| true,
 };
@@ -154,7 +154,7 @@
                 crashes: SimCrashes::new(fleet.hosts.len() as u64 + 1),
             });
         }
-        fleet.run(&CALM, 3_000);
+        fleet.run(&NO_FAULTS, 3_000);
         fleet.calls = 0;
         fleet
     }
@@ -181,12 +181,12 @@
         host.crashes = SimCrashes::new(self.rng.random());
     }
 
-    pub fn run(&mut self, trouble: &SimTrouble, time: u64) {
+    pub fn run(&mut self, faults: &SimFaults, time: u64) {
         let end = self.now + time;
         while self.now < end {
             for index in 0..self.hosts.len() {
                 if self.hosts[index].is_up {
-                    self.step(index, trouble);
+                    self.step(index, faults);
                 }
             }
             self.now += STEP;
@@ -194,7 +194,7 @@
     }
 
     /// Runs until all hosts that are up have the newest version and returns how long that took.
-    pub fn time_to_force(&mut self, trouble: &SimTrouble, bound: u64) -> u64 {
+    pub fn time_to_apply(&mut self, faults: &SimFaults, bound: u64) -> u64 {
         let start = self.now;
         while self
             .hosts
@@ -205,17 +205,17 @@
                 self.now - start < bound,
                 "change did not reach all hosts within {bound} ms"
             );
-            self.run(trouble, STEP);
+            self.run(faults, STEP);
         }
         self.now - start
     }
 
-    fn step(&mut self, index: usize, trouble: &SimTrouble) {
-        self.report(index, trouble);
-        self.learn_crashes(index, trouble);
-        self.report_crashes(index, trouble);
+    fn step(&mut self, index: usize, faults: &SimFaults) {
+        self.report(index, faults);
+        self.learn_crashes(index, faults);
+        self.report_crashes(index, faults);
         if let Some(asked) = self.hosts[index].asked {
-            self.poll_query(index, asked, trouble);
+            self.poll_query(index, asked, faults);
             return;
         }
         let reads_newer =
@@ -224,7 +224,7 @@
             return;
         }
         match self.choose(index) {
-            UpdateSource::Store => self.read(index, trouble),
+            UpdateSource::Store => self.read(index, faults),
             UpdateSource::Host(entry) => {
                 let asked = self
                     .hosts
@@ -234,7 +234,7 @@
                 self.hosts[index].busy_until = self.now;
                 self.hosts[index].failures = 0;
             }
-            UpdateSource::Seeds => self.query_seed(index, trouble),
+            UpdateSource::Seeds => self.query_seed(index, faults),
         }
     }
 
@@ -256,10 +256,10 @@
     }
 
     // The queried host responds once it has something newer, or when the query's wait is over.
-    fn poll_query(&mut self, index: usize, asked: usize, trouble: &SimTrouble) {
+    fn poll_query(&mut self, index: usize, asked: usize, faults: &SimFaults) {
         let since = self.hosts[index].busy_until;
         let other = &self.hosts[asked];
-        let is_reachable = other.is_up && (trouble.path)(&self.hosts[index].entry, &other.entry);
+        let is_reachable = other.is_up && (faults.path)(&self.hosts[index].entry, &other.entry);
         let now = self.local_now(index);
         if !is_reachable {
             if self.now >= since + PATIENCE || !other.is_up {
@@ -285,7 +285,7 @@
         self.hosts[index].asked = None;
         self.hosts[index].is_lost = is_lost;
         self.take(index, asked);
-        self.query_newest(index, trouble);
+        self.query_newest(index, faults);
     }
 
     fn take(&mut self, index: usize, from: usize) {
@@ -320,7 +320,7 @@
         host.choice.set_hosts(all.iter());
     }
 
-    fn query_newest(&mut self, index: usize, trouble: &SimTrouble) {
+    fn query_newest(&mut self, index: usize, faults: &SimFaults) {
         let host = &self.hosts[index];
         let Some((newest, at)) = host.newest else {
             return;
@@ -329,15 +329,15 @@
             || self.hosts[newest].version > host.version;
         if is_newer
             && self.hosts[newest].is_up
-            && (trouble.path)(&host.entry, &self.hosts[newest].entry)
+            && (faults.path)(&host.entry, &self.hosts[newest].entry)
         {
             self.take(index, newest);
         }
     }
 
-    fn read(&mut self, index: usize, trouble: &SimTrouble) {
+    fn read(&mut self, index: usize, faults: &SimFaults) {
         let now = self.now;
-        let is_served = (trouble.store)(&self.hosts[index].entry);
+        let is_served = (faults.store)(&self.hosts[index].entry);
         let knew = self.hosts[index].confirmed.is_some();
         self.calls += if knew { KINDS } else { START_CALLS };
         if is_served && knew && self.hosts[index].era < self.era {
@@ -369,7 +369,7 @@
             let is_news = choice.served() != served;
             host.busy_until = now + if is_reader { WATCH } else { LOOK };
             if is_news || is_change {
-                self.report_to_head(index, trouble);
+                self.report_to_head(index, faults);
             }
             return;
         }
@@ -383,11 +383,11 @@
         host.failures += 1;
         host.watched = None;
         host.is_lost = true;
-        self.query_other_heads(index, trouble);
+        self.query_other_heads(index, faults);
     }
 
     // After a failed read, heads of other zones and the newest reporter may have newer data.
-    fn query_other_heads(&mut self, index: usize, trouble: &SimTrouble) {
+    fn query_other_heads(&mut self, index: usize, faults: &SimFaults) {
         let heads = self.hosts[index].choice.other_heads(self.local_now(index));
         let asked: Vec<HostEntry> = heads.sample(&mut self.rng, 2).cloned().collect();
         for entry in asked {
@@ -398,18 +398,18 @@
             else {
                 continue;
             };
-            if self.hosts[other].is_up && (trouble.path)(&self.hosts[index].entry, &entry) {
+            if self.hosts[other].is_up && (faults.path)(&self.hosts[index].entry, &entry) {
                 self.take(index, other);
             }
         }
-        self.query_newest(index, trouble);
+        self.query_newest(index, faults);
     }
 
-    fn query_seed(&mut self, index: usize, trouble: &SimTrouble) {
+    fn query_seed(&mut self, index: usize, faults: &SimFaults) {
         let seed = *self.seeds.choose(&mut self.rng).unwrap();
         self.hosts[index].busy_until = self.now + 100;
         let other = &self.hosts[seed];
-        let is_reachable = other.is_up && (trouble.path)(&self.hosts[index].entry, &other.entry);
+        let is_reachable = other.is_up && (faults.path)(&self.hosts[index].entry, &other.entry);
         if seed == index || !is_reachable {
             return;
         }
@@ -425,13 +425,13 @@
         self.hosts[index].busy_until = self.now;
     }
 
-    fn report(&mut self, index: usize, trouble: &SimTrouble) {
+    fn report(&mut self, index: usize, faults: &SimFaults) {
         if (self.now + index as u64 * STEP).is_multiple_of(REPORT) {
-            self.report_to_head(index, trouble);
+            self.report_to_head(index, faults);
         }
     }
 
-    fn report_to_head(&mut self, index: usize, trouble: &SimTrouble) {
+    fn report_to_head(&mut self, index: usize, faults: &SimFaults) {
         let host = &self.hosts[index];
         let (Some(head), Some(confirmed)) =
             (host.choice.head(self.local_now(index)), host.confirmed)
@@ -443,7 +443,7 @@
             .iter()
             .position(|other| other.entry.name == head.name)
             .unwrap();
-        if !(trouble.path)(&host.entry, &self.hosts[head].entry) {
+        if !(faults.path)(&host.entry, &self.hosts[head].entry) {
             return;
         }
         if !self.hosts[head].is_lost {
@@ -454,6 +454,6 @@
         if known.is_none_or(|(_, at)| confirmed > at) {
             *known = Some((index, confirmed));
         }
-        self.query_newest(head, trouble);
+        self.query_newest(head, faults);
     }
 }
--- a/tests/relay_crash_fleet.rs
+++ b/tests/relay_crash_fleet.rs
@@ -4,7 +4,7 @@
 mod fleet_sim;
 
 use {
-    crate::fleet_sim::{CALM, STEP, SimFleet, SimTrouble},
+    crate::fleet_sim::{NO_FAULTS, STEP, SimFaults, SimFleet},
     rand::RngExt,
 };
 
@@ -24,11 +24,11 @@
                 break index;
             }
         };
-        fleet.end_under(index, FATAL, run);
+        fleet.crash_under(index, FATAL, run);
         for other in 0..innocent {
             let digest = 1_000 + u128::from(run) * 100 + other;
             let at = fleet.rng.random_range(0..fleet.hosts.len());
-            fleet.end_under(at, digest, run);
+            fleet.crash_under(at, digest, run);
         }
     }
 }
@@ -38,7 +38,7 @@
     for (zones, hosts) in SIZES {
         let mut fleet = SimFleet::running(zones, hosts);
         end_three(&mut fleet, 20);
-        let time = fleet.time_to_judge(&CALM, FATAL, |_| true, CONTACT);
+        let time = fleet.time_to_judge(&NO_FAULTS, FATAL, |_| true, CONTACT);
         println!("{} hosts: {time} ms", fleet.hosts.len());
         assert!(time <= 1_000, "{} hosts: {time} ms", fleet.hosts.len());
     }
@@ -53,14 +53,14 @@
             fleet.hosts[zone * hosts].is_up = false;
         }
         end_three(&mut fleet, 20);
-        let time = fleet.time_to_judge(&CALM, FATAL, |_| true, CONTACT);
+        let time = fleet.time_to_judge(&NO_FAULTS, FATAL, |_| true, CONTACT);
         println!("{} hosts, heads killed: {time} ms", fleet.hosts.len());
     }
 }
 
 #[test]
 fn a_zone_that_was_cut_off_knows_in_time_once_it_is_back() {
-    let cut = SimTrouble {
+    let cut = SimFaults {
         store: |entry| entry.zone != "z-a",
         path: |from, to| (from.zone == "z-a") == (to.zone == "z-a"),
     };
@@ -68,21 +68,21 @@
         let mut fleet = SimFleet::running(zones, hosts);
         fleet.run(&cut, 500);
         // Two ends on one side, one on the other.
-        fleet.end_under(0, FATAL, 1);
-        fleet.end_under(hosts, FATAL, 2);
-        fleet.end_under(hosts + 1, FATAL, 3);
+        fleet.crash_under(0, FATAL, 1);
+        fleet.crash_under(hosts, FATAL, 2);
+        fleet.crash_under(hosts + 1, FATAL, 3);
         fleet.run(&cut, 40_000);
-        assert!(!fleet.holds_fatal(0, FATAL), "three only together");
-        let time = fleet.time_to_judge(&CALM, FATAL, |_| true, CONTACT);
+        assert!(!fleet.considers_fatal(0, FATAL), "three only together");
+        let time = fleet.time_to_judge(&NO_FAULTS, FATAL, |_| true, CONTACT);
         println!("{} hosts, cut healed: {time} ms", fleet.hosts.len());
         let mut fleet = SimFleet::running(zones, hosts);
         fleet.run(&cut, 500);
         for run in 0..3 {
-            fleet.end_under(hosts + 1, FATAL, run);
+            fleet.crash_under(hosts + 1, FATAL, run);
         }
         fleet.time_to_judge(&cut, FATAL, |zone| zone != "z-a", CONTACT);
         fleet.run(&cut, 40_000);
-        let time = fleet.time_to_judge(&CALM, FATAL, |_| true, CONTACT);
+        let time = fleet.time_to_judge(&NO_FAULTS, FATAL, |_| true, CONTACT);
         println!(
             "{} hosts, cut healed, one side: {time} ms",
             fleet.hosts.len()
@@ -94,12 +94,12 @@
 fn hosts_that_are_started_one_after_the_other_all_know_it_again() {
     let mut fleet = SimFleet::running(3, 3);
     end_three(&mut fleet, 0);
-    fleet.time_to_judge(&CALM, FATAL, |_| true, CONTACT);
+    fleet.time_to_judge(&NO_FAULTS, FATAL, |_| true, CONTACT);
     for index in 0..fleet.hosts.len() {
         fleet.hosts[index].is_up = false;
-        fleet.run(&CALM, 1_000);
+        fleet.run(&NO_FAULTS, 1_000);
         fleet.restart(index);
-        fleet.time_to_judge(&CALM, FATAL, |_| true, CONTACT);
+        fleet.time_to_judge(&NO_FAULTS, FATAL, |_| true, CONTACT);
     }
 }
 
@@ -113,13 +113,13 @@
             for run in 0..3 {
                 let at = fleet.rng.random_range(0..fleet.hosts.len());
                 let number = second * 3 + run;
-                fleet.end_under(at, 100 + u128::from(second), number);
+                fleet.crash_under(at, 100 + u128::from(second), number);
                 for other in 0..20 {
                     let at = fleet.rng.random_range(0..fleet.hosts.len());
                     let digest = 10_000 + u128::from(number) * 100 + other;
-                    fleet.end_under(at, digest, number);
+                    fleet.crash_under(at, digest, number);
                 }
-                fleet.run(&CALM, 1_000 / 3 / STEP * STEP);
+                fleet.run(&NO_FAULTS, 1_000 / 3 / STEP * STEP);
             }
         }
         let sent: Vec<u64> = fleet
--- a/tests/relay_fleet.rs
+++ b/tests/relay_fleet.rs
@@ -3,7 +3,7 @@
 mod fleet_sim;
 
 use {
-    crate::fleet_sim::{CALM, KINDS, STEP, SimFleet, SimTrouble},
+    crate::fleet_sim::{KINDS, NO_FAULTS, STEP, SimFaults, SimFleet},
     std::time::Duration,
 };
 
@@ -11,23 +11,23 @@
 fn calls_to_the_store_grow_neither_with_hosts_nor_with_zones() {
     for (zones, hosts) in [(3, 3), (5, 59), (7, 60)] {
         let mut fleet = SimFleet::running(zones, hosts);
-        fleet.run(&CALM, 9_000);
+        fleet.run(&NO_FAULTS, 9_000);
         assert!(
             fleet.calls <= 44,
             "{zones} zones of {hosts}: {}",
             fleet.calls
         );
         fleet.version += 1;
-        assert!(fleet.time_to_force(&CALM, 1_000) <= 200);
+        assert!(fleet.time_to_apply(&NO_FAULTS, 1_000) <= 200);
     }
 }
 
 #[test]
 fn during_an_eight_second_outage_few_hosts_call_the_store_and_all_soon_notice_its_return() {
     for (zones, hosts) in [(3, 3), (5, 59), (7, 60)] {
-        let away = SimTrouble {
+        let away = SimFaults {
             store: |_| false,
-            ..CALM
+            ..NO_FAULTS
         };
         let mut fleet = SimFleet::running(zones, hosts);
         fleet.run(&away, 8_000);
@@ -39,9 +39,9 @@
             fleet.calls
         );
         fleet.version += 1;
-        assert!(fleet.time_to_force(&CALM, 2_000) <= 1_300);
+        assert!(fleet.time_to_apply(&NO_FAULTS, 2_000) <= 1_300);
         fleet.calls = 0;
-        fleet.run(&CALM, 9_000);
+        fleet.run(&NO_FAULTS, 9_000);
         assert!(
             fleet.calls <= 60,
             "{zones} zones of {hosts}, afterwards: {}",
@@ -53,18 +53,18 @@
 #[test]
 fn a_restored_store_is_reread_by_few_hosts_and_later_writes_soon_reach_all() {
     for (zones, hosts) in [(3, 3), (5, 59), (7, 60)] {
-        let away = SimTrouble {
+        let away = SimFaults {
             store: |_| false,
-            ..CALM
+            ..NO_FAULTS
         };
         let mut fleet = SimFleet::running(zones, hosts);
         fleet.run(&away, 700);
         fleet.calls = 0;
         fleet.restore();
-        let time = fleet.time_to_force(&CALM, 4_000);
+        let time = fleet.time_to_apply(&NO_FAULTS, 4_000);
         assert!(time <= 1_500, "{zones} zones of {hosts}: {time} ms");
         assert!(fleet.hosts.iter().all(|host| host.era == fleet.era));
-        fleet.run(&CALM, 9_000 - time);
+        fleet.run(&NO_FAULTS, 9_000 - time);
         // The readers' usual calls, plus those with which each of them rereads the store.
         assert!(
             fleet.calls <= 44 + 12,
@@ -82,19 +82,19 @@
 
 #[test]
 fn a_store_that_rejects_only_the_readers_is_read_by_other_hosts() {
-    let no_heads = SimTrouble {
+    let no_heads = SimFaults {
         store: |entry| {
             !["-0", "-1", "-2"]
                 .iter()
                 .any(|end| entry.name.ends_with(end))
         },
-        ..CALM
+        ..NO_FAULTS
     };
     let mut fleet = SimFleet::running(5, 59);
     fleet.run(&no_heads, 2_000);
     for _ in 0..10 {
         fleet.version += 1;
-        fleet.time_to_force(&no_heads, 4_000);
+        fleet.time_to_apply(&no_heads, 4_000);
         fleet.run(&no_heads, 700);
     }
     let seconds = (fleet.now - 13_000) / 1_000;
@@ -108,13 +108,13 @@
 #[test]
 fn rejecting_one_reader_delays_no_change() {
     let mut fleet = SimFleet::running(5, 59);
-    let one = SimTrouble {
+    let one = SimFaults {
         store: |entry| entry.zone != "z-c",
-        ..CALM
+        ..NO_FAULTS
     };
     for _ in 0..10 {
         fleet.version += 1;
-        fleet.time_to_force(&one, 1_500);
+        fleet.time_to_apply(&one, 1_500);
         fleet.run(&one, 1_100);
     }
 }
@@ -127,7 +127,7 @@
             host.is_up = false;
         }
         fleet.version += 1;
-        fleet.run(&CALM, 1_400);
+        fleet.run(&NO_FAULTS, 1_400);
         // All of them start within half a second.
         let mut order: Vec<usize> = (0..fleet.hosts.len()).collect();
         for turn in 0..20 {
@@ -135,9 +135,9 @@
             for index in order.split_off(left - left / (20 - turn)) {
                 fleet.restart(index);
             }
-            fleet.run(&CALM, STEP);
+            fleet.run(&NO_FAULTS, STEP);
         }
-        let time = fleet.time_to_force(&CALM, 2_000);
+        let time = fleet.time_to_apply(&NO_FAULTS, 2_000);
         assert!(time <= 700, "{zones} zones of {hosts}: {time} ms");
         let count = fleet.hosts.len() as u64;
         assert!(
@@ -150,7 +150,7 @@
 
 #[test]
 fn a_zone_that_is_cut_off_makes_few_calls_and_does_not_affect_the_others() {
-    let cut = SimTrouble {
+    let cut = SimFaults {
         store: |entry| entry.zone != "z-a",
         path: |from, to| (from.zone == "z-a") == (to.zone == "z-a"),
     };
@@ -182,7 +182,7 @@
         "{} in {seconds} s",
         fleet.calls
     );
-    fleet.time_to_force(&CALM, 2_500);
+    fleet.time_to_apply(&NO_FAULTS, 2_500);
 }
 
 #[test]
@@ -199,10 +199,10 @@
     for reader in readers {
         fleet.hosts[reader].is_up = false;
         fleet.version += 1;
-        let time = fleet.time_to_force(&CALM, 2_500);
+        let time = fleet.time_to_apply(&NO_FAULTS, 2_500);
         assert!(time <= 1_500, "{time} ms");
     }
-    fleet.run(&CALM, 5_000);
+    fleet.run(&NO_FAULTS, 5_000);
     assert!(fleet.calls <= 200, "{}", fleet.calls);
 }
 
@@ -211,9 +211,9 @@
     let mut fleet = SimFleet::running(5, 59);
     for index in 0..fleet.hosts.len() {
         fleet.hosts[index].is_up = false;
-        fleet.run(&CALM, 2 * STEP);
+        fleet.run(&NO_FAULTS, 2 * STEP);
         fleet.restart(index);
-        fleet.run(&CALM, 2 * STEP);
+        fleet.run(&NO_FAULTS, 2 * STEP);
     }
     let seconds = (fleet.now - 13_000) / 1_000;
     let steady = 5 * seconds;
@@ -224,20 +224,20 @@
         fleet.calls
     );
     fleet.version += 1;
-    fleet.time_to_force(&CALM, 1_000);
+    fleet.time_to_apply(&NO_FAULTS, 1_000);
 }
 
 // A host that the store serves must keep reading it: when it read only every two seconds, changes took effect 3.0 s
 // after their acknowledgement.
 #[test]
 fn consecutive_changes_are_known_soon_while_the_store_rejects_many_hosts() {
-    let a_third = SimTrouble {
+    let a_third = SimFaults {
         store: |entry| {
             let is_reader = ["-0", "-1"].iter().any(|end| entry.name.ends_with(end));
             let sum: u32 = entry.name.bytes().map(u32::from).sum();
             !is_reader && !sum.is_multiple_of(3)
         },
-        ..CALM
+        ..NO_FAULTS
     };
     for (zones, hosts) in [(3, 29), (5, 59)] {
         let mut fleet = SimFleet::running(zones, hosts);
@@ -245,7 +245,7 @@
         for pause in [100, 1_900, 700, 400, 1_300, 250] {
             fleet.run(&a_third, pause);
             fleet.version += 1;
-            let time = fleet.time_to_force(&a_third, 4_000);
+            let time = fleet.time_to_apply(&a_third, 4_000);
             assert!(time <= 1_500, "{zones} zones of {hosts}: {time} ms");
         }
     }
@@ -253,7 +253,7 @@
 
 #[test]
 fn a_store_that_rejects_the_readers_and_a_third_of_the_others_delays_changes_little() {
-    let a_third = SimTrouble {
+    let a_third = SimFaults {
         store: |entry| {
             let is_reader = entry.name.ends_with("-0");
             !is_reader
@@ -264,14 +264,14 @@
                     .sum::<u32>()
                     .is_multiple_of(3)
         },
-        ..CALM
+        ..NO_FAULTS
     };
     for (zones, hosts) in [(3, 3), (3, 20), (5, 59)] {
         for wait in [100, 400, 1_100] {
             let mut fleet = SimFleet::running(zones, hosts);
             fleet.run(&a_third, wait);
             fleet.version += 1;
-            let time = fleet.time_to_force(&a_third, 9_000);
+            let time = fleet.time_to_apply(&a_third, 9_000);
             assert!(
                 time <= 3_000,
                 "{zones} zones of {hosts}, after {wait} ms: {time} ms"
@@ -283,9 +283,9 @@
 #[test]
 fn heads_and_seed_hosts_that_restart_during_a_store_outage_delay_no_zone() {
     for (zones, hosts) in [(3, 3), (5, 59), (7, 60)] {
-        let away = SimTrouble {
+        let away = SimFaults {
             store: |_| false,
-            ..CALM
+            ..NO_FAULTS
         };
         let mut fleet = SimFleet::running(zones, hosts);
         fleet.run(&away, 3_000);
@@ -301,7 +301,7 @@
         }
         fleet.run(&away, 4_500);
         fleet.version += 1;
-        let time = fleet.time_to_force(&CALM, 2_500);
+        let time = fleet.time_to_apply(&NO_FAULTS, 2_500);
         assert!(time <= 1_500, "{zones} zones of {hosts}: {time} ms");
     }
 }
