--- a/src/relay/news/feed.rs
+++ b/src/relay/news/feed.rs
@@ -9,8 +9,8 @@
             parts::{metric_labels::StoreCause, shared::RelayParts},
             policy::past_time::PastTime,
             policy::{
-                pauses::{FOLLOWER_PAUSES, READER_PAUSES, StorePauses},
                 source::stale_age,
+                store_backoff::{FOLLOWER_BACKOFF, READER_BACKOFF, StoreBackoff},
             },
             vital,
         },
@@ -205,10 +205,10 @@
         }
     }
 
-    fn pauses(&self) -> &'static StorePauses {
+    fn pauses(&self) -> &'static StoreBackoff {
         match self.reading_hosts.get() {
-            true => &READER_PAUSES,
-            false => &FOLLOWER_PAUSES,
+            true => &READER_BACKOFF,
+            false => &FOLLOWER_BACKOFF,
         }
     }
 
--- a/src/relay/parts/shared.rs
+++ b/src/relay/parts/shared.rs
@@ -21,9 +21,9 @@
             belief::cluster::ClusterState,
             dialect::{BackendCall, CallDialect},
             policy::{
-                book::BackendRegistry, budget::RetryWindow, kept::PromptCacheIndex,
-                limit_book::LimitBook, line::WaitQueue, route::RouteTable, view::BackendFailure,
-                waited::CallerTimeouts,
+                budget::RetryWindow, caller_timeouts::CallerTimeouts, limit_book::LimitBook,
+                prompt_cache::PromptCacheIndex, registry::BackendRegistry, route::RouteTable,
+                view::BackendFailure, wait_queue::WaitQueue,
             },
             settings::RelaySettings,
         },
--- a/src/relay/parts/shares.rs
+++ b/src/relay/parts/shares.rs
@@ -7,9 +7,9 @@
         relay::{
             backend::BackendInfo,
             policy::{
-                book::PEER_LOAD_TTL,
                 budget::{FleetDemand, RetryBudget, RetryCounts, RetryWindow},
                 loads::{EngineKey, LoadReport, ServiceDemand},
+                registry::PEER_LOAD_TTL,
             },
         },
         web::{PoolTarget, PoolUse},
--- a/src/relay/policy/admission.rs
+++ b/src/relay/policy/admission.rs
@@ -4,7 +4,7 @@
 //! will miss its latency target leaves memory to requests, also of other hosts, that can still meet theirs.
 
 use {
-    super::line::QueueKey,
+    super::wait_queue::QueueKey,
     crate::relay::dialect::CallMarks,
     std::{ops::RangeInclusive, time::Duration},
 };
--- a/src/relay/policy/room.rs
+++ b/src/relay/policy/decode_exclusions.rs
@@ -1,7 +1,7 @@
 //! Summary of why decode engines could not take a request, for the refusal's message.
 
 use {
-    super::{book::BackendRegistry, view::BackendView},
+    super::{registry::BackendRegistry, view::BackendView},
     crate::engine::EngineRole,
     std::{fmt, time::Duration},
 };
--- a/src/relay/policy/engines.rs
+++ b/src/relay/policy/engines.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        book::{self, BackendRegistry},
         limit_book::{PermitState, PermitWait},
+        registry::{self, BackendRegistry},
         view::BackendView,
     },
     crate::{engine::EngineRole, relay::backend::BackendInfo},
@@ -48,7 +48,7 @@
             .engines(service, EngineRole::Decode, now)
             .filter(|view| !view.has_refused(tokens, now))
             .filter(|view| self.fits(view, tokens, memory, now));
-        book::sorted(views, |view| {
+        registry::sorted(views, |view| {
             let jitter = rand::random::<u64>() % LOAD_JITTER;
             let is_other_zone = view.info.zone != zone;
             (
--- a/src/relay/policy/mod.rs
+++ b/src/relay/policy/mod.rs
@@ -3,26 +3,25 @@
 
 pub(crate) mod admission;
 pub(crate) mod availability;
-pub(crate) mod book;
 pub(crate) mod budget;
+pub(crate) mod caller_timeouts;
 pub(crate) mod changes;
 pub(crate) mod crash_book;
 pub(crate) mod crash_mark;
 pub(crate) mod crash_record;
+pub(crate) mod decode_exclusions;
 pub(crate) mod digest;
 mod engines;
 pub(crate) mod findings_cache;
-pub(crate) mod kept;
 pub(crate) mod limit_book;
 pub(crate) mod limit_updates;
-pub(crate) mod line;
 pub(crate) mod loads;
 pub(crate) mod past_time;
-pub(crate) mod pauses;
 pub(crate) mod permit_allocator;
 pub(crate) mod permit_owners;
 mod plain_number;
-pub(crate) mod room;
+pub(crate) mod prompt_cache;
+pub(crate) mod registry;
 pub(crate) mod rotation;
 pub(crate) mod route;
 pub(crate) mod server_limit;
@@ -30,14 +29,15 @@
 pub(crate) mod shared_findings;
 pub(crate) mod source;
 pub(crate) mod split;
+pub(crate) mod store_backoff;
 pub(crate) mod subset;
 pub(crate) mod view;
-pub(crate) mod waited;
+pub(crate) mod wait_queue;
 
 pub use self::{
-    admission::*, availability::*, book::*, budget::*, changes::*, crash_book::*, crash_mark::*,
-    crash_record::*, digest::*, findings_cache::*, kept::*, limit_book::*, limit_updates::*,
-    line::*, loads::*, past_time::*, pauses::*, permit_allocator::*, permit_owners::*, room::*,
-    rotation::*, route::*, server_limit::*, server_marks::*, shared_findings::*, source::*,
-    split::*, subset::*, view::*, waited::*,
+    admission::*, availability::*, budget::*, caller_timeouts::*, changes::*, crash_book::*,
+    crash_mark::*, crash_record::*, decode_exclusions::*, digest::*, findings_cache::*,
+    limit_book::*, limit_updates::*, loads::*, past_time::*, permit_allocator::*, permit_owners::*,
+    prompt_cache::*, registry::*, rotation::*, route::*, server_limit::*, server_marks::*,
+    shared_findings::*, source::*, split::*, store_backoff::*, subset::*, view::*, wait_queue::*,
 };
--- a/src/relay/policy/rotation.rs
+++ b/src/relay/policy/rotation.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         availability::{ServerAvailability, ServerRun},
-        book::BackendRegistry,
+        registry::BackendRegistry,
         view::BackendView,
     },
     crate::{engine::EngineRole, relay::backend::BackendInfo},
--- a/src/relay/request/plain.rs
+++ b/src/relay/request/plain.rs
@@ -16,8 +16,8 @@
             backend::BackendInfo,
             parts::{permits::ServerPermit, shared::RelayParts},
             policy::{
-                book::{PlainChoice, SendConstraints},
                 limit_book::PermitWait,
+                registry::{PlainChoice, SendConstraints},
                 view::BackendFailure,
             },
         },
--- a/src/relay/request/reserve.rs
+++ b/src/relay/request/reserve.rs
@@ -11,9 +11,9 @@
             parts::{permits::ServerPermit, shared::RelayParts},
             policy::{
                 admission::{self, QueuedRequest},
-                kept::CachedAt,
-                line::QueueKey,
-                room::DecodeExclusions,
+                decode_exclusions::DecodeExclusions,
+                prompt_cache::CachedAt,
+                wait_queue::QueueKey,
             },
         },
     },
--- a/src/relay/request/seek.rs
+++ b/src/relay/request/seek.rs
@@ -1,7 +1,9 @@
 //! Asking decode engines which of them keeps the prompt of a stream that is to go on.
 
 use {
-    crate::relay::{backend::BackendInfo, parts::shared::RelayParts, policy::kept::CachedAt},
+    crate::relay::{
+        backend::BackendInfo, parts::shared::RelayParts, policy::prompt_cache::CachedAt,
+    },
     futures::future,
     http::StatusCode,
     std::{rc::Rc, time::Duration},
--- a/src/relay/request/stream.rs
+++ b/src/relay/request/stream.rs
@@ -22,7 +22,7 @@
             config::RequestKind,
             dialect::DecodeStart,
             parts::shared::RelayParts,
-            policy::{kept::CachedAt, view::BackendFailure},
+            policy::{prompt_cache::CachedAt, view::BackendFailure},
         },
         web::PooledBody,
     },
--- a/tests/fleet_sim/mod.rs
+++ b/tests/fleet_sim/mod.rs
@@ -10,7 +10,7 @@
 use {
     self::crashes::SimCrashes,
     bayplank::relay::{
-        self, FOLLOWER_PAUSES, HostEntry, READER_PAUSES, SourceSelector, SourceSettings,
+        self, FOLLOWER_BACKOFF, HostEntry, READER_BACKOFF, SourceSelector, SourceSettings,
         UpdateSource,
     },
     faststr::FastStr,
@@ -375,9 +375,9 @@
         }
         // A host without the list of hosts reads that too and backs off like a reader.
         let pauses = if is_reader || !host.knows_hosts {
-            READER_PAUSES
+            READER_BACKOFF
         } else {
-            FOLLOWER_PAUSES
+            FOLLOWER_BACKOFF
         };
         host.busy_until = now + pauses.after(host.failures, draw).as_millis() as u64;
         host.failures += 1;
