--- a/src/relay/policy/prompt_cache.rs
+++ b/src/relay/policy/prompt_cache.rs
@@ -60,21 +60,21 @@
     }
 
     /// Applies an engine's cache report.
-    pub fn update(&mut self, engine: &FastStr, news: CacheNews, now: Duration) {
+    pub fn update(&mut self, engine: &FastStr, report: CacheNews, now: Duration) {
         let known = self.engines.remove(engine);
         let parts = match known {
-            Some(known) if known.epoch == news.epoch && !news.is_whole => known.parts,
+            Some(known) if known.epoch == report.epoch && !report.is_whole => known.parts,
             // Changes are useless without the full list that they apply to.
-            _ if !news.is_whole => return,
+            _ if !report.is_whole => return,
             _ => HashMap::new(),
         };
         let mut cache = EngineCache {
-            epoch: news.epoch,
-            next: news.next,
+            epoch: report.epoch,
+            next: report.next,
             reported_at: now,
             parts,
         };
-        for change in news.changes {
+        for change in report.changes {
             cache.note(change);
         }
         self.engines.insert(engine.clone(), cache);
--- a/src/relay/policy/registry.rs
+++ b/src/relay/policy/registry.rs
@@ -251,22 +251,23 @@
     /// The load of this host's own requests per engine, and the backend servers that it has ejected.
     pub fn loads(&self, now: Duration) -> Vec<EngineLoad> {
         let views = self.views.values();
-        let told = views
+        let reported = views
             .filter(|view| view.memory_tokens + view.prefill_tokens > 0 || view.is_ejected(now));
-        told.map(|view| EngineLoad {
-            engine: view.key,
-            memory_tokens: view.memory_tokens,
-            ejected_by: u32::from(view.is_ejected(now)),
-        })
-        .collect()
+        reported
+            .map(|view| EngineLoad {
+                engine: view.key,
+                memory_tokens: view.memory_tokens,
+                ejected_by: u32::from(view.is_ejected(now)),
+            })
+            .collect()
     }
 
     /// Sets the loads of all other hosts; a server that is not listed counts as idle.
     pub fn set_peer_loads(&mut self, loads: &[EngineLoad], now: Duration) {
-        let told: BTreeMap<EngineKey, &EngineLoad> =
+        let by_engine: BTreeMap<EngineKey, &EngineLoad> =
             loads.iter().map(|load| (load.engine, load)).collect();
         for view in self.views.values_mut() {
-            let load = told.get(&view.key);
+            let load = by_engine.get(&view.key);
             view.peer_tokens = load.map_or(0, |load| load.memory_tokens);
             view.peer_ejections = load.map_or(0, |load| load.ejected_by);
         }
@@ -274,8 +275,8 @@
     }
 
     fn has_peer_loads(&self, now: Duration) -> bool {
-        let told = self.peer_loads_at;
-        told.is_some_and(|at| now.saturating_sub(at) < PEER_LOAD_TTL)
+        let received = self.peer_loads_at;
+        received.is_some_and(|at| now.saturating_sub(at) < PEER_LOAD_TTL)
     }
 
     /// Memory in use at an engine, in tokens, by requests of this host and, if reported recently, of others.
--- a/tests/fleet_sim/crashes.rs
+++ b/tests/fleet_sim/crashes.rs
@@ -1,7 +1,7 @@
 //! Exchange between simulated hosts of the requests that crash servers.
 
 use {
-    super::{PATIENCE, STEP, SimFaults, SimFleet},
+    super::{QUERY_TIMEOUT, STEP, SimFaults, SimFleet},
     bayplank::relay::{
         CachePosition, CrashBook, CrashJudgement, CrashMark, EngineKey, MarkSource, RequestDigest,
     },
@@ -13,7 +13,7 @@
 /// Pause before a failed report is sent again, as in the relay.
 const RESEND_PAUSE: u64 = 200;
 /// Pause between checks for something to report or a host to report to, as in the relay.
-const LOOK: u64 = 1_000;
+const CHECK_INTERVAL: u64 = 1_000;
 
 /// How long a host of another zone that did not respond is skipped.
 const SKIP_TIME: u64 = 2_000;
@@ -30,7 +30,7 @@
     reported: BTreeMap<(FastStr, bool), u64>,
     // Hosts of other zones that did not respond, and until when nothing is sent to them.
     skipped: BTreeMap<usize, u64>,
-    next_look: u64,
+    next_check: u64,
     has_learned: bool,
     pub sent_bytes: u64,
 }
@@ -42,7 +42,7 @@
             positions: BTreeMap::new(),
             reported: BTreeMap::new(),
             skipped: BTreeMap::new(),
-            next_look: 0,
+            next_check: 0,
             has_learned: false,
             sent_bytes: 0,
         }
@@ -68,7 +68,7 @@
         crashes
             .book
             .note_end(RequestDigest(digest), EngineKey(run), now);
-        crashes.next_look = self.now;
+        crashes.next_check = self.now;
     }
 
     /// Whether a host considers a request fatal, that is, one that crashes its servers.
@@ -147,7 +147,7 @@
     }
 
     pub(super) fn report_crashes(&mut self, index: usize, faults: &SimFaults) {
-        if self.now < self.hosts[index].crashes.next_look || !self.hosts[index].knows_hosts {
+        if self.now < self.hosts[index].crashes.next_check || !self.hosts[index].knows_hosts {
             return;
         }
         let now = self.local_now(index);
@@ -165,11 +165,11 @@
             all_reported &= self.report_crashes_to(index, name, to, is_zone, faults);
         }
         let pause = match all_reported {
-            true => LOOK,
+            true => CHECK_INTERVAL,
             // A hanging connection also takes its timeout.
-            false => RESEND_PAUSE + PATIENCE,
+            false => RESEND_PAUSE + QUERY_TIMEOUT,
         };
-        self.hosts[index].crashes.next_look = self.now + pause;
+        self.hosts[index].crashes.next_check = self.now + pause;
     }
 
     fn place_of(&self, name: &str) -> usize {
@@ -244,7 +244,7 @@
         let before = at.book.place();
         at.book.take(&marks, source, now);
         if at.book.place() != before {
-            at.next_look = self.now;
+            at.next_check = self.now;
         }
         let crashes = &mut self.hosts[index].crashes;
         crashes.sent_bytes += bytes_of(&marks);
--- a/tests/fleet_sim/mod.rs
+++ b/tests/fleet_sim/mod.rs
@@ -23,15 +23,15 @@
 /// Time within which changes have to take effect; it makes data stale after 1.8 s.
 const CHANGE_TIME: Duration = Duration::from_secs(4);
 /// Wait of a reader's watch, as the relay sets it for this change time.
-const WATCH: u64 = 900;
+const WATCH_WAIT: u64 = 900;
 /// How long a query waits for something newer.
-const QUESTION: u64 = 300;
+const QUERY_WAIT: u64 = 300;
 /// Timeout of a query to a host that does not respond.
-const PATIENCE: u64 = 400;
+const QUERY_TIMEOUT: u64 = 400;
 /// Interval between a host's reports to its head.
-const REPORT: u64 = 600;
+const REPORT_INTERVAL: u64 = 600;
 /// Interval between the reads of a host that reads the store without being a reader.
-const LOOK: u64 = 350;
+const READ_INTERVAL: u64 = 350;
 /// Calls of a starting host that reads everything: the configuration, a list that lags, its watch.
 const START_CALLS: u64 = 3;
 /// Number of watched object kinds.
@@ -107,13 +107,13 @@
     entries
 }
 
-fn choice_of(entry: &HostEntry, patience: u64, told: u64) -> SourceSelector {
+fn choice_of(entry: &HostEntry, start_wait: u64, seed_wait: u64) -> SourceSelector {
     SourceSelector::new(SourceSettings {
         own: entry.name.clone(),
         zone: entry.zone.clone(),
         stale_age: relay::stale_age(CHANGE_TIME),
-        start_wait: Duration::from_millis(patience),
-        seed_wait: Duration::from_millis(told),
+        start_wait: Duration::from_millis(start_wait),
+        seed_wait: Duration::from_millis(seed_wait),
     })
 }
 
@@ -146,7 +146,7 @@
                 full_lists_sent: 0,
                 proved: Some(9_900),
                 watched: None,
-                busy_until: 10_000 + fleet.rng.random_range(0..QUESTION),
+                busy_until: 10_000 + fleet.rng.random_range(0..QUERY_WAIT),
                 asked: None,
                 failures: 0,
                 is_lost: false,
@@ -162,7 +162,7 @@
     /// Restarts a host without any data.
     pub fn restart(&mut self, index: usize) {
         let is_seed = self.seeds.contains(&index);
-        let (patience, told) = match is_seed {
+        let (start_wait, seed_wait) = match is_seed {
             true => (60, 60),
             false => (
                 self.rng.random_range(150..350),
@@ -170,7 +170,7 @@
             ),
         };
         let host = &mut self.hosts[index];
-        host.choice = choice_of(&host.entry, patience, told);
+        host.choice = choice_of(&host.entry, start_wait, seed_wait);
         host.started = self.now;
         host.busy_until = self.now;
         (host.is_up, host.knows_hosts) = (true, false);
@@ -262,7 +262,7 @@
         let is_reachable = other.is_up && (faults.path)(&self.hosts[index].entry, &other.entry);
         let now = self.local_now(index);
         if !is_reachable {
-            if self.now >= since + PATIENCE || !other.is_up {
+            if self.now >= since + QUERY_TIMEOUT || !other.is_up {
                 let name = other.entry.name.clone();
                 self.hosts[index].choice.note_timeout(&name, now);
                 self.hosts[index].asked = None;
@@ -271,7 +271,7 @@
         }
         let is_newer =
             self.position_of(asked) > self.position_of(index) || self.has_crash_news(index, asked);
-        if !is_newer && self.now < since + QUESTION {
+        if !is_newer && self.now < since + QUERY_WAIT {
             return;
         }
         let name = other.entry.name.clone();
@@ -367,7 +367,7 @@
                 Duration::from_millis(now - started),
             );
             let is_news = choice.served() != served;
-            host.busy_until = now + if is_reader { WATCH } else { LOOK };
+            host.busy_until = now + if is_reader { WATCH_WAIT } else { READ_INTERVAL };
             if is_news || is_change {
                 self.report_to_head(index, faults);
             }
@@ -426,7 +426,7 @@
     }
 
     fn report(&mut self, index: usize, faults: &SimFaults) {
-        if (self.now + index as u64 * STEP).is_multiple_of(REPORT) {
+        if (self.now + index as u64 * STEP).is_multiple_of(REPORT_INTERVAL) {
             self.report_to_head(index, faults);
         }
     }
--- a/tests/relay_fleet.rs
+++ b/tests/relay_fleet.rs
@@ -71,8 +71,8 @@
             "{zones} zones of {hosts}: {}",
             fleet.calls
         );
-        let told = fleet.hosts.iter().map(|host| host.full_lists_sent);
-        let busiest = told.max().unwrap();
+        let sent = fleet.hosts.iter().map(|host| host.full_lists_sent);
+        let busiest = sent.max().unwrap();
         assert!(
             busiest <= hosts as u64,
             "{zones} zones of {hosts}: {busiest} full lists"
