--- a/src/relay/news/entry.rs
+++ b/src/relay/news/entry.rs
@@ -1,4 +1,4 @@
-//! Entering the own host in the store, so that others find it.
+//! Registers this host in the store, so that others can find it.
 
 use {
     crate::{
@@ -11,25 +11,25 @@
     std::{rc::Rc, time::Duration},
 };
 
-/// Pause before the host's entry is written again after a failure.
-const ENTRY_PAUSE: Duration = Duration::from_millis(700);
+/// Delay before a failed write of the host's entry is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(700);
 
-/// How long a host that was started again waits for the list of hosts, in which its entry most often stands still: of
-/// three calls at each start of a fleet of hundreds that leaves none.
-const LIST_PATIENCE: Duration = Duration::from_secs(2);
+/// How long a restarted host waits for the list of hosts before it writes its entry. The list usually still contains the
+/// entry, which saves all three calls per host when a fleet of hundreds of hosts restarts.
+const HOST_LIST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How often the host looks whether it is still listed.
-const LOOK_PERIOD: Duration = Duration::from_secs(1);
+/// How often the host checks whether it is still listed.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long the entry has to be missing before it is written: the list is up to two seconds old, and an entry that an
-/// earlier run of the host took away as it stopped may still show in it.
+/// How long the entry has to be missing before it is written. The list is up to two seconds old, and may still contain an
+/// entry that an earlier run of the host removed when it stopped.
 const MISSING_TIME: Duration = Duration::from_secs(3);
 
-/// Time for each host that is listed over which hosts spread the writes of missing entries: a store that was restored may
-/// lack those of all.
+/// Writes of missing entries are spread over this time per listed host, since a store that was restored from a backup may
+/// have lost the entries of all hosts.
 const WRITE_SPACING: Duration = Duration::from_millis(10);
 
-/// Keeps the host's entry in the store for as long as the host runs and is not about to stop.
+/// Keeps the host's entry in the store up to date until the host is about to stop.
 pub async fn keep_entry(parts: Rc<RelayParts>, store: Rc<StoreLink>) {
     if !parts.settings.first_start {
         wait_for_list(&parts).await;
@@ -39,38 +39,39 @@
         false => Some(Duration::ZERO),
     };
     let mut missing_time = MISSING_TIME;
-    let mut written = None;
+    let mut written_at = None;
     let mut written_entry: Option<HostEntry> = None;
     loop {
         let now = parts.now();
         let entry = own_entry(&parts);
-        // What it is to keep has changed: others need not hear of that in a hurry, but the store is to have it.
-        let is_other = written_entry
+        // A changed entry is written at once, since the store is what preserves its content; other hosts do not need it
+        // urgently.
+        let has_changed = written_entry
             .as_ref()
             .is_some_and(|before| *before != entry);
         match is_listed(&parts, &entry) {
             true => missing_since = None,
             false if missing_since.is_none() => {
                 missing_since = Some(now);
-                missing_time = spread_missing_time(&parts);
+                missing_time = random_missing_time(&parts);
             }
             false => {}
         }
-        let is_new = written.is_none_or(|at| now.saturating_sub(at) >= missing_time);
+        let is_retry_due = written_at.is_none_or(|at| now.saturating_sub(at) >= missing_time);
         let is_missing = missing_since.is_some_and(|since| {
             since == Duration::ZERO || now.saturating_sub(since) >= missing_time
         });
-        if (is_other || (is_missing && is_new)) && !parts.gate.is_stopping() {
+        if (has_changed || (is_missing && is_retry_due)) && !parts.gate.is_stopping() {
             write_entry(&parts, &store, &entry).await;
-            written = Some(parts.now());
+            written_at = Some(parts.now());
             missing_since = Some(parts.now());
         }
         written_entry = Some(entry);
-        tokio::time::sleep(LOOK_PERIOD).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
 }
 
-fn spread_missing_time(parts: &RelayParts) -> Duration {
+fn random_missing_time(parts: &RelayParts) -> Duration {
     let hosts = parts.cluster.borrow().host_count();
     let spread = WRITE_SPACING * u32::try_from(hosts).unwrap_or(u32::MAX);
     MISSING_TIME + spread.mul_f64(rand::random())
@@ -91,26 +92,29 @@
     parts.cluster.borrow().is_host_listed(entry)
 }
 
-// Until the host knows the list, or that takes too long.
+// Waits until the host knows the list of hosts, but no longer than the timeout.
 async fn wait_for_list(parts: &RelayParts) {
     let waiting = async {
         loop {
             let news = parts.news.notified();
             tokio::pin!(news);
             news.as_mut().enable();
-            // What an earlier run's entry keeps is taken over first.
+            // The crash records in an earlier run's entry are loaded first, so that a write does not lose them.
             if parts.cluster.borrow().hosts_position().is_known() && parts.knows_crashes() {
                 return;
             }
             news.await;
         }
     };
-    if tokio::time::timeout(LIST_PATIENCE, waiting).await.is_err() {
-        log::debug!("no list of hosts in time: the host's entry is written anyway");
+    if tokio::time::timeout(HOST_LIST_TIMEOUT, waiting)
+        .await
+        .is_err()
+    {
+        log::debug!("no list of hosts within the timeout; writing the host's entry anyway");
     }
 }
 
-// Writes who this host is, until that has succeeded.
+// Writes the host's entry, and retries until that has succeeded.
 async fn write_entry(parts: &RelayParts, store: &StoreLink, entry: &HostEntry) {
     let value = StoreValue::Host(entry.clone());
     let mut position = StorePosition::default();
@@ -123,19 +127,19 @@
         parts.metrics.store_called(StoreCause::Entry, 1);
         match (store.put)(StoreKind::Hosts, item).await {
             Ok(_) => return,
-            // An earlier run's entry, or this one's own whose answer was lost.
+            // The entry was written by an earlier run, or by this one and the response was lost.
             Err(StoreFailure::Conflict(_)) => {
                 parts.metrics.store_called(StoreCause::Entry, 1);
                 match (store.get)(StoreKind::Hosts, &entry.name).await {
                     Ok(found) if found.value == value => return,
                     Ok(found) => position = found.position,
                     Err(StoreFailure::NotFound) => position = StorePosition::default(),
-                    Err(failure) => log::debug!("the host's entry: {failure}"),
+                    Err(failure) => log::debug!("cannot read the host's entry: {failure}"),
                 }
             }
             Err(failure) => {
-                log::debug!("the host's entry: {failure}");
-                tokio::time::sleep(ENTRY_PAUSE).await;
+                log::debug!("cannot write the host's entry: {failure}");
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
--- a/src/relay/news/findings.rs
+++ b/src/relay/news/findings.rs
@@ -1,7 +1,8 @@
-//! Telling other hosts at once what requests have shown: which of them end their servers, and which servers are rate-limited.
+//! Distributes findings about requests to the other hosts without delay: which requests crash their servers, and which
+//! servers are rate-limited.
 //!
-//! A host tells the head of its zone, the head tells one host of each zone, and all others hear it with the news that they
-//! wait for. What is not taken is told again.
+//! A host sends its findings to the head of its zone, the head sends them to one host of each zone, and all other hosts
+//! receive them in the response to their next poll. A send that fails is repeated.
 
 use {
     super::{follow::NewsFollower, link::NewsLinks, targets::ZoneTargets},
@@ -24,48 +25,50 @@
     std::{cell::RefCell, cmp::Reverse, collections::BTreeMap, rc::Rc, time::Duration},
 };
 
-/// Longest wait until a host has taken what it is told; it does so at once.
-const TELL_PATIENCE: Duration = Duration::from_millis(250);
+/// Timeout of a call with findings; hosts respond to it without delay.
+const CALL_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Pause before what was not taken is told again.
-const AGAIN_PAUSE: Duration = Duration::from_millis(200);
+/// Delay before a failed send is repeated.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// How often it is looked whether there is another host to be told.
-const LOOK_PERIOD: Duration = Duration::from_secs(1);
+/// How often this host checks for other hosts to send findings to.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Hosts that a starting one asks.
-const LEARN_HOSTS: usize = 3;
+/// Number of hosts from which a starting host fetches their findings.
+const FETCH_HOSTS: usize = 3;
 
-/// Longest wait for what they know; the host is not ready until then, and callers wait for it.
-const LEARN_PATIENCE: Duration = Duration::from_millis(200);
+/// Timeout of that fetch; until then the host is not ready, and callers wait for it.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Hosts that are asked one after the other whether a request may be tried: entries of lost hosts stay. Two that are
-/// asked by two sides of a cut may both allow it, which operators' allowance of three sends bears.
-const TRIAL_ASKS: usize = 3;
+/// Number of hosts that are asked in turn whether a request may be tried, since entries of lost hosts remain in the list.
+/// During a network partition a host on each side may allow a trial, which stays within the three sends of such a request
+/// that operators allow.
+const MAX_TRIAL_HOSTS: usize = 3;
 
-/// Whom a host is told for.
+/// A destination of findings.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-enum TellTarget {
-    // The head of the own zone, by its name.
+enum FindingsTarget {
+    // The head of this host's zone, by name.
     Head(FastStr),
-    // Whoever answers for another zone.
+    // The host that currently receives for a zone, by the zone's name.
     Zone(FastStr),
 }
 
-/// Tells and hears.
+/// Sends findings to other hosts and applies those that it receives.
 pub struct FindingShare {
     parts: Rc<RelayParts>,
     follower: Rc<NewsFollower>,
     links: Rc<NewsLinks>,
     targets: ZoneTargets,
-    // Up to which revisions of the own books each was told.
-    told: RefCell<BTreeMap<TellTarget, SharedRevisions>>,
+    // The revisions of this host's findings up to which each target has received them.
+    sent_revisions: RefCell<BTreeMap<FindingsTarget, SharedRevisions>>,
 }
 
 impl FindingShare {
-    /// Takes what another host told.
+    /// Applies findings from another host; `is_zone` is set if it sends them on behalf of its whole zone.
     pub fn take_told(&self, findings: &SharedFindings, is_zone: bool) {
-        // What one tells for its zone it tells all zones itself; a host that is no head has to tell its own.
+        // The sender of a zone's findings sends them to all zones itself. A host that is not the head has to forward them to
+        // the head of its own zone.
         let is_head = self.follower.head().is_none();
         let source = match is_zone && is_head {
             true => MarkSource::Told,
@@ -75,7 +78,7 @@
         self.parts.take_limits(&findings.limits, source);
     }
 
-    /// Starts to tell.
+    /// Starts the tasks that send and fetch findings.
     pub fn start(
         parts: Rc<RelayParts>,
         follower: Rc<NewsFollower>,
@@ -86,51 +89,51 @@
             follower,
             links,
             targets: ZoneTargets::default(),
-            told: RefCell::default(),
+            sent_revisions: RefCell::default(),
         });
-        let asking = share.clone();
+        let requester = share.clone();
         share.parts.crashes.set_trial_ask(Rc::new(move |digest| {
-            asking.clone().ask_trial(digest).boxed_local()
+            requester.clone().request_trial(digest).boxed_local()
         }));
         critical_task::spawn_critical("findings", share.clone().run());
-        critical_task::spawn_critical("learning others' findings", share.clone().learn());
+        critical_task::spawn_critical("initial findings", share.clone().fetch_initial());
         share
     }
 
-    // A host that starts asks some others as soon as it knows the list of hosts: one that reads the store would hear it from
-    // nobody.
-    async fn learn(self: Rc<Self>) {
+    // A starting host fetches the findings of some other hosts as soon as it knows the list of hosts: if it reads the store,
+    // it polls no other host and would not receive them.
+    async fn fetch_initial(self: Rc<Self>) {
         while !self.parts.cluster.borrow().hosts_position().is_known() {
-            // News that came between the look and the wait are found at the next look.
-            let looked = tokio::time::timeout(LOOK_PERIOD, self.parts.news.notified()).await;
-            log::trace!("looked for the list of hosts: {looked:?}");
+            // An update between the check and the wait is noticed at the next check.
+            let waited = tokio::time::timeout(CHECK_INTERVAL, self.parts.news.notified()).await;
+            log::trace!("waited for the list of hosts: {waited:?}");
         }
-        let asking = self.hosts_to_ask().into_iter();
-        future::join_all(asking.map(|entry| self.ask(entry))).await;
+        let hosts = self.hosts_to_fetch_from().into_iter();
+        future::join_all(hosts.map(|entry| self.fetch_from(entry))).await;
         self.parts.finish_learning();
     }
 
-    fn hosts_to_ask(&self) -> Vec<HostEntry> {
+    fn hosts_to_fetch_from(&self) -> Vec<HostEntry> {
         let own_zone = &self.parts.settings.zone;
         let cluster = self.parts.cluster.borrow();
         let mut hosts: Vec<HostEntry> = cluster.hosts().cloned().collect();
         hosts.retain(|entry| entry.name != self.parts.settings.name);
         hosts.shuffle(&mut rand::rng());
-        // One of the own zone first, which a cut leaves in reach.
+        // A host of this zone first, which stays reachable if the zone is partitioned from the others.
         hosts.sort_by_key(|entry| entry.zone != *own_zone);
-        let near = hosts.iter().take(1);
-        let away = hosts.iter().rev().take(LEARN_HOSTS - 1);
-        near.chain(away).cloned().collect()
+        let same_zone = hosts.iter().take(1);
+        let other_zones = hosts.iter().rev().take(FETCH_HOSTS - 1);
+        same_zone.chain(other_zones).cloned().collect()
     }
 
-    async fn ask(&self, entry: HostEntry) {
+    async fn fetch_from(&self, entry: HostEntry) {
         let held = self.follower.held(entry.peers, Duration::ZERO, false);
-        match self.links.follow(entry.peers, held, LEARN_PATIENCE).await {
+        match self.links.follow(entry.peers, held, FETCH_TIMEOUT).await {
             Ok(news) => {
                 self.parts.take_crash_news(&news.crashes, entry.peers);
                 self.parts.take_limit_updates(&news.limits, entry.peers);
             }
-            Err(error) => log::debug!("host {} told of no findings: {error}", entry.name),
+            Err(error) => log::debug!("cannot fetch findings from host {}: {error}", entry.name),
         }
     }
 
@@ -138,74 +141,79 @@
         loop {
             tokio::select! {
                 () = self.parts.reported.notified() => {}
-                () = tokio::time::sleep(LOOK_PERIOD) => {}
+                () = tokio::time::sleep(CHECK_INTERVAL) => {}
             }
-            let mut all_told = self.tell_all().await;
-            while !all_told {
-                tokio::time::sleep(AGAIN_PAUSE).await;
-                all_told = self.tell_all().await;
+            let mut all_received = self.send_to_all().await;
+            while !all_received {
+                tokio::time::sleep(RETRY_DELAY).await;
+                all_received = self.send_to_all().await;
             }
         }
     }
 
-    // Gives whether everybody knows.
-    async fn tell_all(&self) -> bool {
-        let targets = self.tell_targets();
-        // What an earlier head had heard may have ended with it. Zones stay.
-        let is_kept = |target: &TellTarget| match target {
-            TellTarget::Head(_) => targets.iter().any(|(known, _)| known == target),
-            TellTarget::Zone(_) => true,
+    // Returns whether all targets have received all findings.
+    async fn send_to_all(&self) -> bool {
+        let targets = self.current_targets();
+        // Findings sent to a previous head may have been lost with it, so they are sent again to a new one. The state of
+        // zones is kept.
+        let is_kept = |target: &FindingsTarget| match target {
+            FindingsTarget::Head(_) => targets.iter().any(|(known, _)| known == target),
+            FindingsTarget::Zone(_) => true,
         };
-        self.told.borrow_mut().retain(|target, _| is_kept(target));
-        let telling = targets
+        self.sent_revisions
+            .borrow_mut()
+            .retain(|target, _| is_kept(target));
+        let sends = targets
             .iter()
-            .map(|(target, entry)| self.tell(target, entry));
-        let told = future::join_all(telling).await;
-        told.into_iter().all(|was_told| was_told)
+            .map(|(target, entry)| self.send_new(target, entry));
+        let received = future::join_all(sends).await;
+        received.into_iter().all(|has_received| has_received)
     }
 
-    fn tell_targets(&self) -> Vec<(TellTarget, HostEntry)> {
+    fn current_targets(&self) -> Vec<(FindingsTarget, HostEntry)> {
         if let Some(head) = self.follower.head() {
-            return vec![(TellTarget::Head(head.name.clone()), head)];
+            return vec![(FindingsTarget::Head(head.name.clone()), head)];
         }
         let own = &self.parts.settings.name;
         let now = self.parts.now();
         let entries = self
             .targets
-            .with_own(&self.parts.cluster.borrow(), own, now);
+            .all_zones(&self.parts.cluster.borrow(), own, now);
         let targets = entries.into_iter();
         targets
-            .map(|entry| (TellTarget::Zone(entry.zone.clone()), entry))
+            .map(|entry| (FindingsTarget::Zone(entry.zone.clone()), entry))
             .collect()
     }
 
-    async fn tell(&self, target: &TellTarget, entry: &HostEntry) -> bool {
-        let since = self.told.borrow().get(target).copied();
+    async fn send_new(&self, target: &FindingsTarget, entry: &HostEntry) -> bool {
+        let since = self.sent_revisions.borrow().get(target).copied();
         let since = match target {
-            TellTarget::Head(_) => since,
-            // What a zone was not told while it was cut off it is told however late.
-            TellTarget::Zone(_) => Some(since.unwrap_or_default()),
+            FindingsTarget::Head(_) => since,
+            // A zone that was unreachable receives everything that it missed, however late.
+            FindingsTarget::Zone(_) => Some(since.unwrap_or_default()),
         };
-        let (findings, revisions) = self.findings_to_tell(since);
+        let (findings, revisions) = self.findings_since(since);
         if findings.is_empty() {
-            self.told.borrow_mut().insert(target.clone(), revisions);
+            self.sent_revisions
+                .borrow_mut()
+                .insert(target.clone(), revisions);
             return true;
         }
-        let is_zone = matches!(target, TellTarget::Zone(_));
+        let is_zone = matches!(target, FindingsTarget::Zone(_));
         let sent = self.send(entry, &findings, is_zone).await;
         if is_zone {
-            self.targets.note(&entry.name, sent, self.parts.now());
+            self.targets
+                .record_result(&entry.name, sent, self.parts.now());
         }
         if sent {
-            self.told.borrow_mut().insert(target.clone(), revisions);
+            self.sent_revisions
+                .borrow_mut()
+                .insert(target.clone(), revisions);
         }
         sent
     }
 
-    fn findings_to_tell(
-        &self,
-        since: Option<SharedRevisions>,
-    ) -> (SharedFindings, SharedRevisions) {
+    fn findings_since(&self, since: Option<SharedRevisions>) -> (SharedFindings, SharedRevisions) {
         let parts = &self.parts;
         let (crashes, crash_revision) = parts.marks_to_report(since.map(|since| since.crashes));
         let (limits, limit_revision) = parts.limits_to_report(since.map(|since| since.limits));
@@ -218,13 +226,13 @@
     }
 
     async fn send(&self, entry: &HostEntry, findings: &SharedFindings, is_zone: bool) -> bool {
-        let telling = self
+        let call = self
             .links
-            .tell_findings(entry.peers, findings, is_zone, TELL_PATIENCE);
-        match telling.await {
+            .tell_findings(entry.peers, findings, is_zone, CALL_TIMEOUT);
+        match call.await {
             Ok(()) => true,
             Err(error) => {
-                log::debug!("host {} was told of no findings: {error}", entry.name);
+                log::debug!("cannot send findings to host {}: {error}", entry.name);
                 if !is_zone {
                     self.follower.record_unreported(&entry.name);
                 }
@@ -233,27 +241,29 @@
         }
     }
 
-    // All hosts agree on whom to ask, so that one of them alone lets the request be tried.
-    async fn ask_trial(self: Rc<Self>, digest: RequestDigest) -> bool {
+    // All hosts ask the same hosts in the same order, so that only one of them allows the request to be tried.
+    async fn request_trial(self: Rc<Self>, digest: RequestDigest) -> bool {
         for entry in self.trial_hosts(digest) {
             if entry.name == self.parts.settings.name {
                 return self.parts.grant_trial(digest);
             }
-            let asking = self.links.allow_trial(entry.peers, digest, TELL_PATIENCE);
-            match asking.await {
+            let call = self.links.allow_trial(entry.peers, digest, CALL_TIMEOUT);
+            match call.await {
                 Ok(is_allowed) => return is_allowed,
-                Err(error) => log::debug!("host {} allowed no trial: {error}", entry.name),
+                Err(error) => {
+                    log::debug!("cannot request a trial from host {}: {error}", entry.name)
+                }
             }
         }
         false
     }
 
     fn trial_hosts(&self, digest: RequestDigest) -> Vec<HostEntry> {
-        let about = digest.to_string();
+        let key = digest.to_string();
         let cluster = self.parts.cluster.borrow();
         let mut hosts: Vec<HostEntry> = cluster.hosts().cloned().collect();
-        hosts.sort_by_key(|entry| Reverse(peer::draw(&entry.name, &about)));
-        hosts.truncate(TRIAL_ASKS);
+        hosts.sort_by_key(|entry| Reverse(peer::draw(&entry.name, &key)));
+        hosts.truncate(MAX_TRIAL_HOSTS);
         hosts
     }
 }
--- a/src/relay/news/permits.rs
+++ b/src/relay/news/permits.rs
@@ -1,4 +1,5 @@
-//! Asking the host that allocates the permits at a rate-limited server. A host that reaches none keeps to a part of its own share.
+//! Requests permits for a rate-limited server from the host that allocates them, the owner. A host that reaches no owner uses
+//! only a part of its own share.
 
 use {
     super::link::NewsLinks,
@@ -14,104 +15,106 @@
     std::{rc::Rc, time::Duration},
 };
 
-/// Hosts that are asked one after the other for a request: entries of lost hosts stay.
-const OWNERS_ASKED: usize = 2;
+/// Number of owners that are tried in turn for a request, since entries of lost hosts remain in the list.
+const MAX_OWNERS_TRIED: usize = 2;
 
-/// Longest wait for the answer; hosts are a millisecond apart, some run slowly for a while.
-const DEAL_PATIENCE: Duration = Duration::from_millis(80);
+/// Timeout of a request for permits: hosts are a millisecond apart, but some run slowly for a while.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(80);
 
-/// The same where the question is passed on: its asker waits behind it.
-const PASS_ON_PATIENCE: Duration = Duration::from_millis(35);
+/// Timeout of a forwarded request, shorter because the original requester is waiting for it.
+const FORWARD_TIMEOUT: Duration = Duration::from_millis(35);
 
-/// When a caller is to come back to a host that was denied too often lately.
-const UNASKED_WAIT: Duration = Duration::from_millis(500);
+/// Retry delay for callers of a host that sends no request because it was denied too often lately.
+const NOT_REQUESTED_WAIT: Duration = Duration::from_millis(500);
 
-/// How often limits are looked for that nobody has heard renewed for long.
-const FORGET_PERIOD: Duration = Duration::from_secs(5);
+/// How often limits are removed that have not been renewed for a long time.
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The way to the hosts that allocate permits.
+/// Client and server side of the permit requests between hosts.
 pub struct PermitLink {
     parts: Rc<RelayParts>,
     links: Rc<NewsLinks>,
 }
 
 impl PermitLink {
-    /// Hands the way to the host's tasks.
+    /// Starts the expiry of limits and lets the host's tasks request permits through this client.
     pub fn start(parts: Rc<RelayParts>, links: Rc<NewsLinks>) -> Rc<Self> {
         let link = Rc::new(Self {
             parts: parts.clone(),
             links,
         });
-        critical_task::spawn_critical("limits of servers", link.clone().forget_old());
-        let asking = link.clone();
-        let call = move |zone, ask| asking.clone().ask(zone, ask).boxed_local();
+        critical_task::spawn_critical("server limit expiry", link.clone().run_expiry());
+        let requester = link.clone();
+        let call = move |zone, request| requester.clone().request(zone, request).boxed_local();
         parts.permits.set_call(Rc::new(call));
         link
     }
 
-    /// Answers a host that takes this one for the owner. Where this one knows another the question is passed on, so that one
-    /// alone allocates permits although the asker cannot reach it.
-    pub async fn answer(self: Rc<Self>, ask: PermitRequest, is_passed_on: bool) -> PermitGrant {
+    /// Answers a host that considers this one the owner. If this host knows another owner, it forwards the request there, so
+    /// that a single host allocates the permits although the requester cannot reach it.
+    pub async fn answer(self: Rc<Self>, request: PermitRequest, is_forwarded: bool) -> PermitGrant {
         let zone = self.parts.settings.zone.clone();
-        let owner = self.parts.owner(&zone, ask.server);
+        let owner = self.parts.owner(&zone, request.server);
         let other = owner.filter(|owner| owner.name != self.parts.settings.name);
         match other {
-            Some(owner) if !is_passed_on => {
-                let grant = self.ask_owner(&owner, &ask, true, PASS_ON_PATIENCE).await;
-                grant.unwrap_or_else(|| self.parts.allocate_permits(&ask))
+            Some(owner) if !is_forwarded => {
+                let grant = self
+                    .request_from(&owner, &request, true, FORWARD_TIMEOUT)
+                    .await;
+                grant.unwrap_or_else(|| self.parts.allocate_permits(&request))
             }
-            _ => self.parts.allocate_permits(&ask),
+            _ => self.parts.allocate_permits(&request),
         }
     }
 
-    async fn ask(self: Rc<Self>, zone: FastStr, ask: PermitRequest) -> PermitGrant {
-        for _ in 0..OWNERS_ASKED {
-            let Some(owner) = self.parts.owner(&zone, ask.server) else {
+    async fn request(self: Rc<Self>, zone: FastStr, request: PermitRequest) -> PermitGrant {
+        for _ in 0..MAX_OWNERS_TRIED {
+            let Some(owner) = self.parts.owner(&zone, request.server) else {
                 break;
             };
             if owner.name == self.parts.settings.name {
-                // Cut off from all others it does not know what they do.
+                // A host that is isolated from all others does not know which permits they use.
                 return match self.parts.is_in_touch() {
-                    true => self.parts.allocate_permits(&ask),
-                    false => self.parts.allocate_alone(&ask),
+                    true => self.parts.allocate_permits(&request),
+                    false => self.parts.allocate_alone(&request),
                 };
             }
-            if !self.may_ask() {
-                return unasked(&ask);
+            if !self.may_request() {
+                return not_requested(&request);
             }
-            let asked = self.ask_owner(&owner, &ask, false, DEAL_PATIENCE);
-            if let Some(grant) = asked.await {
+            let response = self.request_from(&owner, &request, false, REQUEST_TIMEOUT);
+            if let Some(grant) = response.await {
                 return grant;
             }
         }
-        self.parts.allocate_alone(&ask)
+        self.parts.allocate_alone(&request)
     }
 
-    fn may_ask(&self) -> bool {
+    fn may_request(&self) -> bool {
         let now = self.parts.now();
         self.parts.permits.owners.borrow_mut().may_ask(now)
     }
 
-    async fn ask_owner(
+    async fn request_from(
         &self,
         owner: &HostEntry,
-        ask: &PermitRequest,
-        is_passed_on: bool,
-        patience: Duration,
+        request: &PermitRequest,
+        is_forwarded: bool,
+        timeout: Duration,
     ) -> Option<PermitGrant> {
-        let asking = self.links.deal(owner.peers, ask, is_passed_on, patience);
-        let answer = asking.await;
+        let call = self.links.deal(owner.peers, request, is_forwarded, timeout);
+        let answer = call.await;
         let mut owners = self.parts.permits.owners.borrow_mut();
         match answer {
             Ok(grant) => {
                 owners.note_heard(&owner.name);
-                if grant.permits == 0 && ask.wanted > 0 {
+                if grant.permits == 0 && request.wanted > 0 {
                     owners.note_denied();
                 }
                 Some(grant)
             }
             Err(error) => {
-                log::debug!("host {} allocated no permit: {error}", owner.name);
+                log::debug!("cannot request permits from host {}: {error}", owner.name);
                 let is_gone = error.kind == ErrorKind::Disconnected;
                 owners.note_silent(&owner.name, is_gone, self.parts.now());
                 None
@@ -119,19 +122,19 @@
         }
     }
 
-    async fn forget_old(self: Rc<Self>) {
+    async fn run_expiry(self: Rc<Self>) {
         loop {
-            tokio::time::sleep(FORGET_PERIOD).await;
+            tokio::time::sleep(EXPIRY_INTERVAL).await;
             self.parts.forget_limits();
         }
     }
 }
 
-// No permit, as far as this host goes.
-fn unasked(ask: &PermitRequest) -> PermitGrant {
+// The response when this host sends no request: no permit, and a retry delay.
+fn not_requested(request: &PermitRequest) -> PermitGrant {
     PermitGrant {
         permits: 0,
-        wait: UNASKED_WAIT,
-        saying: ask.saying,
+        wait: NOT_REQUESTED_WAIT,
+        saying: request.saying,
     }
 }
--- a/src/relay/news/settle.rs
+++ b/src/relay/news/settle.rs
@@ -1,4 +1,4 @@
-//! Ledgers of client accounts telling each other their sums, and the way of a host to the ledger of its zone.
+//! Synchronizes the client account ledgers of the zones, and connects a host to the ledger of its own zone.
 
 use {
     super::{follow::NewsFollower, link::NewsLinks, targets::ZoneTargets},
@@ -14,17 +14,17 @@
     std::{rc::Rc, time::Duration},
 };
 
-/// How often a ledger tells its sums of the accounts that are near their limits. What zones let in meanwhile without
-/// knowing of each other goes beyond the limits for a moment.
-const SETTLE_PERIOD: Duration = Duration::from_millis(200);
+/// How often a ledger sends its totals of the accounts that are near their limits. Between two exchanges, zones admit
+/// requests without knowing of each other and may exceed the limits for a moment.
+const SYNC_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How often, in such periods, it tells those of all accounts.
-const WHOLE_PERIOD: u32 = 15;
+/// Every how many intervals it sends the totals of all accounts.
+const FULL_SYNC_INTERVALS: u32 = 15;
 
-/// Longest wait for the answer.
-const SETTLE_PATIENCE: Duration = Duration::from_millis(250);
+/// Timeout of an exchange.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Tells the sums of this host's ledger to those of other zones.
+/// Exchanges the totals of this host's ledger with the ledgers of other zones.
 pub struct LedgerLink {
     parts: Rc<RelayParts>,
     follower: Rc<NewsFollower>,
@@ -33,7 +33,7 @@
 }
 
 impl LedgerLink {
-    /// Starts to tell.
+    /// Starts the exchange, and sets up the calls to the ledger of this host's zone.
     pub fn start(parts: Rc<RelayParts>, follower: Rc<NewsFollower>, links: Rc<NewsLinks>) {
         let link = Rc::new(Self {
             parts,
@@ -41,74 +41,83 @@
             links,
             targets: ZoneTargets::default(),
         });
-        link.parts.accounts.set_ask(link.clone().ledger_ask());
-        critical_task::spawn_critical("zones of the ledger", link.clone().follow_zones());
-        critical_task::spawn_critical("ledger of accounts", link.run());
+        link.parts.accounts.set_ask(link.clone().ledger_call());
+        critical_task::spawn_critical("ledger zones", link.clone().watch_zones());
+        critical_task::spawn_critical("account ledger", link.run());
     }
 
-    // Which zones there are is known to the books as soon as to the host: what is left of a limit depends on it.
-    async fn follow_zones(self: Rc<Self>) {
+    // Updates the ledger's set of zones as soon as this host's view changes: the remainder of a limit depends on it.
+    async fn watch_zones(self: Rc<Self>) {
         loop {
             self.parts.news.notified().await;
             self.parts.keep_books();
         }
     }
 
-    // The head of the zone keeps its books.
-    fn ledger_ask(self: Rc<Self>) -> Rc<LedgerAsk> {
-        Rc::new(move |account, units, patience| {
+    // The ledger of a zone is kept by the zone's head.
+    fn ledger_call(self: Rc<Self>) -> Rc<LedgerAsk> {
+        Rc::new(move |account, units, timeout| {
             let head = self.follower.head()?;
             let links = self.links.clone();
             let link = self.clone();
-            let asking = async move {
-                let answer = links.charge(head.peers, account, units, patience).await;
+            let call = async move {
+                let answer = links.charge(head.peers, account, units, timeout).await;
                 if let Err(error) = &answer {
-                    log::debug!("host {} did not say what is left: {error}", head.name);
-                    link.pass_over_unheard(&head);
+                    log::debug!("cannot charge an account at host {}: {error}", head.name);
+                    link.skip_unknown_head(&head);
                 }
                 answer.ok()
             };
-            Some(asking.boxed_local())
+            Some(call.boxed_local())
         })
     }
 
-    // A host that was never told anything has no reason to wait for this one.
-    fn pass_over_unheard(&self, head: &HostEntry) {
+    // A host that has never received account usage from the ledger has no reason to wait for this head.
+    fn skip_unknown_head(&self, head: &HostEntry) {
         if self.parts.is_untold_of_use() {
             self.follower.record_unreported(&head.name);
         }
     }
 
     async fn run(self: Rc<Self>) {
-        for turn in 0_u32.. {
-            tokio::time::sleep(SETTLE_PERIOD).await;
+        for round in 0_u32.. {
+            tokio::time::sleep(SYNC_INTERVAL).await;
             self.parts.keep_books();
-            let Some(sums) = self.parts.sums_to_tell(turn.is_multiple_of(WHOLE_PERIOD)) else {
+            let Some(sums) = self
+                .parts
+                .sums_to_tell(round.is_multiple_of(FULL_SYNC_INTERVALS))
+            else {
                 continue;
             };
-            let told = self.targets().into_iter();
-            let told = told.map(|entry| self.settle_with(entry, &sums));
-            future::join_all(told).await;
+            let targets = self.targets().into_iter();
+            let exchanges = targets.map(|entry| self.exchange_with(entry, &sums));
+            future::join_all(exchanges).await;
         }
     }
 
-    // One host of each other zone; and the head of the own zone where that is another one: hosts may not agree on it.
+    // One host of each other zone; and the head of this host's zone if that is another host, since hosts may disagree on
+    // which one is the head.
     fn targets(&self) -> Vec<HostEntry> {
         let own_zone = &self.parts.settings.zone;
         let now = self.parts.now();
-        let mut entries = self.targets.of(&self.parts.cluster.borrow(), own_zone, now);
+        let mut entries = self
+            .targets
+            .other_zones(&self.parts.cluster.borrow(), own_zone, now);
         entries.extend(self.follower.head());
         entries
     }
 
-    async fn settle_with(&self, entry: HostEntry, sums: &LedgerSums) {
-        let exchange = self.links.exchange(entry.peers, sums, SETTLE_PATIENCE);
+    async fn exchange_with(&self, entry: HostEntry, sums: &LedgerSums) {
+        let exchange = self.links.exchange(entry.peers, sums, EXCHANGE_TIMEOUT);
         let answer = exchange.await;
         let now = self.parts.now();
-        self.targets.note(&entry.name, answer.is_ok(), now);
+        self.targets.record_result(&entry.name, answer.is_ok(), now);
         match answer {
             Ok(theirs) => self.parts.take_sums(&theirs),
-            Err(error) => log::debug!("host {} took no sums: {error}", entry.name),
+            Err(error) => log::debug!(
+                "cannot exchange ledger totals with host {}: {error}",
+                entry.name
+            ),
         }
     }
 }
--- a/src/relay/news/share.rs
+++ b/src/relay/news/share.rs
@@ -1,4 +1,4 @@
-//! Telling the other hosts what this one's requests take, and hearing what theirs take.
+//! Reports the load of this host's requests to the other hosts, and collects the load of theirs.
 
 use {
     super::{follow::NewsFollower, link::NewsLinks, message::ReportedView, targets::ZoneTargets},
@@ -14,32 +14,32 @@
     std::{cell::RefCell, rc::Rc, time::Duration},
 };
 
-/// How often a host reports. Requests run for some seconds, so that the others' view of them is mostly
-/// right; a report more often costs small hosts processor time.
-const REPORT_PERIOD: Duration = Duration::from_millis(300);
+/// How often a host reports. Requests run for some seconds, so the others' view of them is mostly accurate; more frequent
+/// reports cost small hosts CPU time.
+const REPORT_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Hosts of a zone up to which each reports that often; with more of them each reports less often, so that
-/// the one that adds up has no more to do.
-const FULL_PACE_HOSTS: usize = 30;
+/// Largest zone whose hosts report at that interval. In larger zones each host reports less often, so that the load on the
+/// zone's head, which sums up the reports, stays the same.
+const FULL_RATE_HOSTS: usize = 30;
 
-/// Longest pause between two reports: one that is lost must not make the one before it too old to count.
-const REPORT_PERIOD_LONGEST: Duration = Duration::from_millis(600);
+/// Longest interval between two reports: if one is lost, the previous one must not expire before the next.
+const MAX_REPORT_INTERVAL: Duration = Duration::from_millis(600);
 
-/// How often a zone reports to the others: few requests go to engines of another zone.
-const ZONE_PERIOD: u32 = 3;
+/// Every how many intervals a zone reports to the others; few requests go to engines of another zone.
+const ZONE_REPORT_INTERVALS: u32 = 3;
 
-/// Longest wait for the answer to a report; it is at once, or of little use.
-const REPORT_PATIENCE: Duration = Duration::from_millis(250);
+/// Timeout of a report: the response is immediate, and of little use if late.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How often each host of a zone of so many reports.
+/// The interval at which each host of a zone reports, by the number of hosts in the zone.
 pub fn report_period(hosts: usize) -> Duration {
-    let factor = hosts as f64 / FULL_PACE_HOSTS as f64;
-    REPORT_PERIOD
+    let factor = hosts as f64 / FULL_RATE_HOSTS as f64;
+    REPORT_INTERVAL
         .mul_f64(factor.max(1.0))
-        .min(REPORT_PERIOD_LONGEST)
+        .min(MAX_REPORT_INTERVAL)
 }
 
-/// Reports of this host, and of others to it.
+/// Reports this host's load, and collects the reports of others if this host is the head of its zone.
 pub struct LoadShare {
     parts: Rc<RelayParts>,
     follower: Rc<NewsFollower>,
@@ -49,7 +49,7 @@
 }
 
 impl LoadShare {
-    /// Starts to report.
+    /// Starts the reporting task.
     pub fn start(
         parts: Rc<RelayParts>,
         follower: Rc<NewsFollower>,
@@ -102,16 +102,16 @@
     }
 
     async fn run(self: Rc<Self>) {
-        for turn in 0_u32.. {
+        for round in 0_u32.. {
             tokio::select! {
-                () = tokio::time::sleep(self.period()) => {}
+                () = tokio::time::sleep(self.interval()) => {}
                 () = self.follower.probe_update() => {}
             }
             match self.follower.head() {
                 Some(entry) => self.report_to(&entry).await,
                 None => {
                     self.collect_own();
-                    if turn.is_multiple_of(ZONE_PERIOD) {
+                    if round.is_multiple_of(ZONE_REPORT_INTERVALS) {
                         self.report_to_zones().await;
                     }
                 }
@@ -119,14 +119,14 @@
         }
     }
 
-    fn period(&self) -> Duration {
+    fn interval(&self) -> Duration {
         let own = &self.parts.settings.zone;
         let cluster = self.parts.cluster.borrow();
         report_period(cluster.hosts().filter(|entry| entry.zone == *own).count())
     }
 
-    // How new this host's view of the store is.
-    fn view(&self) -> ReportedView {
+    // How current this host's view of the store is.
+    fn reported_view(&self) -> ReportedView {
         let cluster = self.parts.cluster.borrow();
         ReportedView {
             age: cluster.age(self.parts.now()),
@@ -139,7 +139,7 @@
         LoadReporter::Host(self.parts.name())
     }
 
-    // This host adds up for its zone.
+    // Adds this host's own load to the sum of its zone.
     fn collect_own(&self) {
         let own = self.parts.own_report();
         let others = self.answer(self.own_reporter(), own, ReportedView::default());
@@ -151,9 +151,13 @@
         let own = self.parts.own_report();
         let uses = own.accounts.uses.clone();
         let reporter = self.own_reporter();
-        let sent = self
-            .links
-            .share(entry.peers, &reporter, &own, self.view(), REPORT_PATIENCE);
+        let sent = self.links.share(
+            entry.peers,
+            &reporter,
+            &own,
+            self.reported_view(),
+            REPORT_TIMEOUT,
+        );
         match sent.await {
             Ok(others) => {
                 self.parts.note_peer();
@@ -163,7 +167,7 @@
                 self.parts.take_others(others);
             }
             Err(error) => {
-                log::debug!("host {} took no report: {error}", entry.name);
+                log::debug!("cannot report the load to host {}: {error}", entry.name);
                 self.follower.record_unreported(&entry.name);
                 self.parts.put_back_uses(uses);
             }
@@ -174,7 +178,9 @@
         let reporter = LoadReporter::Zone(self.parts.settings.zone.clone());
         let own_zone = &self.parts.settings.zone;
         let now = self.parts.now();
-        let targets = self.targets.of(&self.parts.cluster.borrow(), own_zone, now);
+        let targets = self
+            .targets
+            .other_zones(&self.parts.cluster.borrow(), own_zone, now);
         for entry in targets {
             let report = self.board.borrow().of_zone(self.parts.now());
             let sent = self.links.share(
@@ -182,11 +188,11 @@
                 &reporter,
                 &report,
                 ReportedView::default(),
-                REPORT_PATIENCE,
+                REPORT_TIMEOUT,
             );
             let answer = sent.await;
             let now = self.parts.now();
-            self.targets.note(&entry.name, answer.is_ok(), now);
+            self.targets.record_result(&entry.name, answer.is_ok(), now);
             match answer {
                 Ok(theirs) => {
                     self.parts.note_peer();
@@ -194,7 +200,10 @@
                     board.take(LoadReporter::Zone(entry.zone), theirs, now);
                 }
                 Err(error) => {
-                    log::debug!("host {} took no report of a zone: {error}", entry.name);
+                    log::debug!(
+                        "cannot report the zone's load to host {}: {error}",
+                        entry.name
+                    );
                 }
             }
         }
