--- a/src/relay/news/crash_message.rs
+++ b/src/relay/news/crash_message.rs
@@ -1,4 +1,4 @@
-//! Requests under which backend servers ended, in the messages between hosts.
+//! Encoding of crash records, the requests during which backend servers ended, in messages between hosts.
 
 use {
     super::message,
@@ -14,7 +14,7 @@
     std::time::Duration,
 };
 
-/// Writes marks.
+/// Encodes crash records.
 pub fn write_marks(mut to: struct_list::Builder<'_, crash_mark::Owned>, marks: &[CrashMark]) {
     for (index, mark) in marks.iter().enumerate() {
         write_mark(to.reborrow().get(index as u32), mark);
@@ -22,7 +22,7 @@
 }
 
 fn write_mark(mut to: crash_mark::Builder<'_>, mark: &CrashMark) {
-    let (high, low) = halves(mark.digest);
+    let (high, low) = split_digest(mark.digest);
     to.set_high(high);
     to.set_low(low);
     to.set_seen_ms(message::to_ms(Some(mark.seen)));
@@ -32,14 +32,14 @@
     }
     let mut ends = to.init_ends(mark.ends.len() as u32);
     for (index, end) in mark.ends.iter().enumerate() {
-        let mut place = ends.reborrow().get(index as u32);
-        place.set_run(end.run.0);
-        place.set_age_ms(message::to_ms(Some(end.age)));
-        place.set_is_excused(end.is_excused);
+        let mut entry = ends.reborrow().get(index as u32);
+        entry.set_run(end.run.0);
+        entry.set_age_ms(message::to_ms(Some(end.age)));
+        entry.set_is_excused(end.is_excused);
     }
 }
 
-/// Reads marks; what is not well formed is an error.
+/// Decodes crash records; fails if one is malformed.
 pub fn read_marks(from: struct_list::Reader<'_, crash_mark::Owned>) -> Result<Vec<CrashMark>> {
     from.iter().map(read_mark).collect()
 }
@@ -47,27 +47,27 @@
 fn read_mark(from: crash_mark::Reader<'_>) -> Result<CrashMark> {
     let ends = from.get_ends()?.iter().map(|end| EndMark {
         run: EngineKey(end.get_run()),
-        age: age(end.get_age_ms()),
+        age: from_millis(end.get_age_ms()),
         is_excused: end.get_is_excused(),
     });
     Ok(CrashMark {
-        digest: whole(from.get_high(), from.get_low()),
+        digest: join_digest(from.get_high(), from.get_low()),
         ends: ends.collect(),
-        trials: from.get_trials_ms()?.iter().map(age).collect(),
-        seen: age(from.get_seen_ms()),
+        trials: from.get_trials_ms()?.iter().map(from_millis).collect(),
+        seen: from_millis(from.get_seen_ms()),
     })
 }
 
-fn age(millis: u32) -> Duration {
+fn from_millis(millis: u32) -> Duration {
     Duration::from_millis(u64::from(millis))
 }
 
-/// A digest as the wire has it.
-pub fn halves(digest: RequestDigest) -> (u64, u64) {
+/// Splits a digest into the high and low half that messages carry.
+pub fn split_digest(digest: RequestDigest) -> (u64, u64) {
     ((digest.0 >> 64) as u64, digest.0 as u64)
 }
 
-/// The digest of two halves.
-pub fn whole(high: u64, low: u64) -> RequestDigest {
+/// Joins the two split_digest of a digest.
+pub fn join_digest(high: u64, low: u64) -> RequestDigest {
     RequestDigest(u128::from(high) << 64 | u128::from(low))
 }
--- a/src/relay/news/limit_message.rs
+++ b/src/relay/news/limit_message.rs
@@ -1,4 +1,4 @@
-//! Rate-limited servers and permits at them, in the messages between hosts.
+//! Encoding of server rate limits, and of requests for permits at rate-limited servers, in messages between hosts.
 
 use {
     super::message,
@@ -16,7 +16,11 @@
     std::time::Duration,
 };
 
-fn write_saying(mut to: limit_saying::Builder<'_>, limit: Option<ServerLimit>, age: Duration) {
+fn write_reported_limit(
+    mut to: limit_saying::Builder<'_>,
+    limit: Option<ServerLimit>,
+    age: Duration,
+) {
     if let Some(limit) = limit {
         to.set_is_named(true);
         to.set_per_second(limit.per_second());
@@ -24,8 +28,8 @@
     to.set_age_ms(message::to_ms(Some(age)));
 }
 
-// A number that is no limit is an error: taken for none at all it would let everything through.
-fn read_saying(from: limit_saying::Reader<'_>) -> Result<(Option<ServerLimit>, Duration)> {
+// An invalid limit is an error: if it were read as no limit, requests would not be limited at all.
+fn read_reported_limit(from: limit_saying::Reader<'_>) -> Result<(Option<ServerLimit>, Duration)> {
     let limit = match from.get_is_named() {
         true => Some(read_limit(from.get_per_second())?),
         false => None,
@@ -35,20 +39,35 @@
 
 fn read_limit(per_second: f64) -> Result<ServerLimit> {
     let limit = ServerLimit::new(per_second);
-    limit.ok_or_else(|| Error::failed(format!("{per_second} is no limit")))
+    limit.ok_or_else(|| {
+        Error::failed(format!(
+            "invalid rate limit: {per_second} requests per second"
+        ))
+    })
 }
 
-/// Writes a question.
-pub fn write_ask(mut to: news_peer::deal_params::Builder<'_>, ask: &PermitRequest, now: Duration) {
-    to.set_server(ask.server.0);
-    to.set_wanted(u16::try_from(ask.wanted).unwrap_or(u16::MAX));
-    to.set_rank(ask.rank);
-    write_saying(to.init_saying(), ask.saying.limit, ask.saying.age(now));
+/// Encodes a request for permits.
+pub fn write_permit_request(
+    mut to: news_peer::deal_params::Builder<'_>,
+    request: &PermitRequest,
+    now: Duration,
+) {
+    to.set_server(request.server.0);
+    to.set_wanted(u16::try_from(request.wanted).unwrap_or(u16::MAX));
+    to.set_rank(request.rank);
+    write_reported_limit(
+        to.init_saying(),
+        request.saying.limit,
+        request.saying.age(now),
+    );
 }
 
-/// Reads a question; what is not well formed is an error.
-pub fn read_ask(from: news_peer::deal_params::Reader<'_>, now: Duration) -> Result<PermitRequest> {
-    let (limit, age) = read_saying(from.get_saying()?)?;
+/// Decodes a request for permits; fails if it is malformed.
+pub fn read_permit_request(
+    from: news_peer::deal_params::Reader<'_>,
+    now: Duration,
+) -> Result<PermitRequest> {
+    let (limit, age) = read_reported_limit(from.get_saying()?)?;
     Ok(PermitRequest {
         server: EngineKey(from.get_server()),
         saying: LimitSaying::told(limit, age, now),
@@ -57,7 +76,7 @@
     })
 }
 
-/// Writes an answer.
+/// Encodes the response to a request for permits.
 pub fn write_grant(
     mut to: news_peer::deal_results::Builder<'_>,
     grant: &PermitGrant,
@@ -65,12 +84,12 @@
 ) {
     to.set_permits(u16::try_from(grant.permits).unwrap_or(u16::MAX));
     to.set_wait_ms(message::to_ms(Some(grant.wait)));
-    write_saying(to.init_saying(), grant.saying.limit, grant.saying.age(now));
+    write_reported_limit(to.init_saying(), grant.saying.limit, grant.saying.age(now));
 }
 
-/// Reads an answer; what is not well formed is an error.
+/// Decodes the response to a request for permits; fails if it is malformed.
 pub fn read_grant(from: news_peer::deal_results::Reader<'_>, now: Duration) -> Result<PermitGrant> {
-    let (limit, age) = read_saying(from.get_saying()?)?;
+    let (limit, age) = read_reported_limit(from.get_saying()?)?;
     Ok(PermitGrant {
         permits: u32::from(from.get_permits()),
         wait: Duration::from_millis(u64::from(from.get_wait_ms())),
@@ -78,22 +97,27 @@
     })
 }
 
-/// Writes marks.
-pub fn write_marks(mut to: struct_list::Builder<'_, limit_update::Owned>, marks: &[LimitUpdate]) {
-    for (index, mark) in marks.iter().enumerate() {
-        let mut place = to.reborrow().get(index as u32);
-        place.set_server(mark.server.0);
-        write_saying(place.init_saying(), mark.limit, mark.age);
+/// Encodes updates of server rate limits.
+pub fn write_updates(
+    mut to: struct_list::Builder<'_, limit_update::Owned>,
+    updates: &[LimitUpdate],
+) {
+    for (index, update) in updates.iter().enumerate() {
+        let mut entry = to.reborrow().get(index as u32);
+        entry.set_server(update.server.0);
+        write_reported_limit(entry.init_saying(), update.limit, update.age);
     }
 }
 
-/// Reads marks; what is not well formed is an error.
-pub fn read_marks(from: struct_list::Reader<'_, limit_update::Owned>) -> Result<Vec<LimitUpdate>> {
-    from.iter().map(read_mark).collect()
+/// Decodes updates of server rate limits; fails if one is malformed.
+pub fn read_updates(
+    from: struct_list::Reader<'_, limit_update::Owned>,
+) -> Result<Vec<LimitUpdate>> {
+    from.iter().map(read_update).collect()
 }
 
-fn read_mark(from: limit_update::Reader<'_>) -> Result<LimitUpdate> {
-    let (limit, age) = read_saying(from.get_saying()?)?;
+fn read_update(from: limit_update::Reader<'_>) -> Result<LimitUpdate> {
+    let (limit, age) = read_reported_limit(from.get_saying()?)?;
     Ok(LimitUpdate {
         server: EngineKey(from.get_server()),
         limit,
--- a/src/relay/news/link.rs
+++ b/src/relay/news/link.rs
@@ -1,4 +1,4 @@
-//! Asking other hosts for news, and answering them: `capnp-rpc` over TCP.
+//! Calls between hosts: client and server of the `NewsPeer` interface, `capnp-rpc` over TCP.
 
 use {
     super::{
@@ -26,47 +26,48 @@
     tokio::net::TcpListener,
 };
 
-/// Longest wait that a ledger's answer tells, milliseconds; the largest number stands for none at all.
-const WAIT_MOST_MS: u32 = 3_600_000;
+/// Longest retry delay in a ledger's response, in milliseconds; `u32::MAX` is reserved for
+/// "unknown".
+const MAX_WAIT_MS: u32 = 3_600_000;
 
-/// Gives the news for an asker, once there are some or its wait is over.
+/// Answers a host that follows this one, once there is something newer or the wait is over.
 pub type NewsAnswer = dyn Fn(HeldNews) -> LocalBoxFuture<'static, ClusterNews>;
 
-/// Takes a report, and how new the reporter's view is; gives what the others report together.
+/// Accepts a load report and how current the reporter's view is; returns the sum of the others' reports.
 pub type LoadAnswer = dyn Fn(LoadReporter, LoadReport, ReportedView) -> LoadReport;
 
-/// Lets a request of an account in, or says when its caller is to come back; none where the account is not known.
+/// Admits a request of a client account, or returns its retry delay; none if the account is unknown.
 pub type ChargeCall = dyn Fn(AccountKey, u32) -> Option<Result<(), Duration>>;
 
-/// Takes what another host told, and whether it tells that for its whole zone.
+/// Accepts findings of another host; the flag is set if it sends them on behalf of its whole zone.
 pub type FindingsTold = dyn Fn(SharedFindings, bool);
 
-/// Whether a request that is held to end its servers may be tried.
+/// Decides whether a request that is considered fatal to servers may be tried.
 pub type TrialCall = dyn Fn(RequestDigest) -> bool;
 
-/// Takes the sums of another ledger; gives this host's, and those that it knows of others.
+/// Accepts the totals of another ledger; returns those of this host's ledger and those known of others.
 pub type SumsCall = dyn Fn(LedgerSums) -> Vec<LedgerSums>;
 
-/// Allocates permits at a rate-limited server, or has them allocated; whether the question was passed on already.
+/// Allocates permits at a rate-limited server, or forwards the request; the flag is set if it was forwarded already.
 pub type DealCall = dyn Fn(PermitRequest, bool) -> LocalBoxFuture<'static, PermitGrant>;
 
-/// What a host answers to others.
+/// Handlers of the calls of other hosts.
 pub struct NewsAnswers {
-    /// The clock of ages that are told.
+    /// The clock from which ages in messages are computed.
     pub clock: HostClock,
-    /// To those that follow it.
+    /// Answers hosts that follow this one.
     pub news: Box<NewsAnswer>,
-    /// To those that report to it.
+    /// Accepts load reports.
     pub loads: Box<LoadAnswer>,
-    /// To those whose books it keeps.
+    /// Charges requests to the accounts in this host's ledger.
     pub charges: Box<ChargeCall>,
-    /// To others that keep books.
+    /// Exchanges totals with the ledgers of other hosts.
     pub sums: Box<SumsCall>,
-    /// To those that saw servers end, or name a limit.
+    /// Accepts findings: crash records and rate limits of servers.
     pub findings: Box<FindingsTold>,
-    /// To those that would try a request.
+    /// Decides whether a request may be tried.
     pub trials: Box<TrialCall>,
-    /// To those that would send to rate-limited servers.
+    /// Allocates permits at rate-limited servers.
     pub permits: Box<DealCall>,
 }
 
@@ -115,11 +116,11 @@
         let params = params.get()?;
         let account = AccountKey(params.get_account());
         let answer = (self.answers.charges)(account, params.get_units());
-        let answer = answer.ok_or_else(|| Error::failed("the account is not known here".into()))?;
+        let answer = answer.ok_or_else(|| Error::failed("unknown account".into()))?;
         let mut results = results.get();
         match answer {
             Ok(()) => results.set_is_let_in(true),
-            Err(wait) => results.set_wait_ms(message::to_ms(Some(wait)).min(WAIT_MOST_MS)),
+            Err(wait) => results.set_wait_ms(message::to_ms(Some(wait)).min(MAX_WAIT_MS)),
         }
         Ok(())
     }
@@ -143,7 +144,7 @@
         let params = params.get()?;
         let findings = SharedFindings {
             crashes: crash_message::read_marks(params.get_marks()?)?,
-            limits: limit_message::read_marks(params.get_limits()?)?,
+            limits: limit_message::read_updates(params.get_limits()?)?,
         };
         (self.answers.findings)(findings, params.get_is_zone());
         Ok(())
@@ -155,7 +156,7 @@
         mut results: news_peer::AllowTrialResults,
     ) -> Result<(), Error> {
         let params = params.get()?;
-        let digest = crash_message::whole(params.get_high(), params.get_low());
+        let digest = crash_message::join_digest(params.get_high(), params.get_low());
         let is_allowed = (self.answers.trials)(digest);
         results.get().set_is_allowed(is_allowed);
         Ok(())
@@ -168,14 +169,14 @@
     ) -> Result<(), Error> {
         let now = self.answers.clock.now();
         let params = params.get()?;
-        let ask = limit_message::read_ask(params, now)?;
-        let grant = (self.answers.permits)(ask, params.get_is_passed_on()).await;
+        let permit_request = limit_message::read_permit_request(params, now)?;
+        let grant = (self.answers.permits)(permit_request, params.get_is_passed_on()).await;
         limit_message::write_grant(results.get(), &grant, self.answers.clock.now());
         Ok(())
     }
 }
 
-/// Answers other hosts on a listening socket, for as long as the host runs.
+/// Serves the calls of other hosts on a listening socket for as long as the host runs.
 pub async fn serve_news(listener: TcpListener, answers: NewsAnswers, metrics: Arc<HostMetrics>) {
     let client: news_peer::Client = capnp_rpc::new_client(NewsServer { answers });
     peer::serve_peers(listener, client.client, metrics).await;
@@ -188,15 +189,15 @@
     }
 }
 
-/// Connections to hosts that are asked for news.
+/// Client for calls to other hosts, with one connection per host.
 pub struct NewsLinks {
     links: PeerLinks<news_peer::Client>,
-    // The clock of ages that are told.
+    // The clock from which ages in messages are computed.
     clock: HostClock,
 }
 
 impl NewsLinks {
-    /// No connections yet.
+    /// Creates a client without connections.
     pub fn new(metrics: Arc<HostMetrics>, clock: HostClock) -> Self {
         Self {
             links: PeerLinks::new(metrics),
@@ -204,14 +205,14 @@
         }
     }
 
-    /// Asks a host for what is newer than `held`; the answer is due `patience` after the wait.
+    /// Requests what is newer than `held` from a host; times out `timeout` after the hold time in the request.
     pub async fn follow(
         &self,
         address: SocketAddr,
         held: HeldNews,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<ClusterNews, Error> {
-        let time = held.wait + patience;
+        let time = held.wait + timeout;
         self.links
             .call(address, time, |client| async move {
                 let mut request = client.follow_request();
@@ -222,16 +223,16 @@
             .await
     }
 
-    /// Asks a host for an account's units: let in, or when to come back.
+    /// Charges units to an account in the ledger of a host: returns whether they are admitted, or the retry delay.
     pub async fn charge(
         &self,
         address: SocketAddr,
         account: AccountKey,
         units: u32,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<Result<(), Duration>, Error> {
         self.links
-            .call(address, patience, |client| async move {
+            .call(address, timeout, |client| async move {
                 let mut request = client.charge_request();
                 request.get().set_account(account.0);
                 request.get().set_units(units);
@@ -246,15 +247,15 @@
             .await
     }
 
-    /// Tells a host the sums of this one's ledger; gives those that it knows.
+    /// Sends the totals of this host's ledger to a host; returns those that it knows.
     pub async fn exchange(
         &self,
         address: SocketAddr,
         sums: &LedgerSums,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<Vec<LedgerSums>, Error> {
         self.links
-            .call(address, patience, |client| async move {
+            .call(address, timeout, |client| async move {
                 let mut request = client.exchange_request();
                 message::write_sums(request.get().init_sums(), sums);
                 let response = request.send().promise.await?;
@@ -264,40 +265,40 @@
             .await
     }
 
-    /// Tells a host of findings.
+    /// Sends findings to a host.
     pub async fn tell_findings(
         &self,
         address: SocketAddr,
         findings: &SharedFindings,
         is_zone: bool,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<(), Error> {
         self.links
-            .call(address, patience, |client| async move {
+            .call(address, timeout, |client| async move {
                 let mut request = client.tell_findings_request();
                 let mut params = request.get();
                 params.set_is_zone(is_zone);
                 let SharedFindings { crashes, limits } = findings;
                 let list = params.reborrow().init_marks(crashes.len() as u32);
                 crash_message::write_marks(list, crashes);
-                limit_message::write_marks(params.init_limits(limits.len() as u32), limits);
+                limit_message::write_updates(params.init_limits(limits.len() as u32), limits);
                 request.send().promise.await?;
                 Ok(())
             })
             .await
     }
 
-    /// Asks a host whether a request that is held to end its servers may be tried.
+    /// Asks a host whether a request that is considered fatal to servers may be tried.
     pub async fn allow_trial(
         &self,
         address: SocketAddr,
         digest: RequestDigest,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<bool, Error> {
         self.links
-            .call(address, patience, |client| async move {
+            .call(address, timeout, |client| async move {
                 let mut request = client.allow_trial_request();
-                let (high, low) = crash_message::halves(digest);
+                let (high, low) = crash_message::split_digest(digest);
                 request.get().set_high(high);
                 request.get().set_low(low);
                 let response = request.send().promise.await?;
@@ -306,36 +307,40 @@
             .await
     }
 
-    /// Asks a host for permits at a rate-limited server.
+    /// Requests permits at a rate-limited server from a host.
     pub async fn deal(
         &self,
         address: SocketAddr,
-        ask: &PermitRequest,
-        is_passed_on: bool,
-        patience: Duration,
+        permit_request: &PermitRequest,
+        is_forwarded: bool,
+        timeout: Duration,
     ) -> Result<PermitGrant, Error> {
         self.links
-            .call(address, patience, |client| async move {
+            .call(address, timeout, |client| async move {
                 let mut request = client.deal_request();
-                limit_message::write_ask(request.get(), ask, self.clock.now());
-                request.get().set_is_passed_on(is_passed_on);
+                limit_message::write_permit_request(
+                    request.get(),
+                    permit_request,
+                    self.clock.now(),
+                );
+                request.get().set_is_passed_on(is_forwarded);
                 let response = request.send().promise.await?;
                 limit_message::read_grant(response.get()?, self.clock.now())
             })
             .await
     }
 
-    /// Reports to a host, with how new one's own view is; gives what the others report together.
+    /// Sends a load report, and how current this host's view is, to a host; returns the sum of the others' reports.
     pub async fn share(
         &self,
         address: SocketAddr,
         reporter: &LoadReporter,
         report: &LoadReport,
         view: ReportedView,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<LoadReport, Error> {
         self.links
-            .call(address, patience, |client| async move {
+            .call(address, timeout, |client| async move {
                 let mut request = client.share_request();
                 let mut params = request.get();
                 let (name, is_zone) = match reporter {
--- a/src/relay/news/message.rs
+++ b/src/relay/news/message.rs
@@ -1,4 +1,4 @@
-//! What hosts ask and tell each other, and the messages that carry it.
+//! Messages between hosts and their encoding.
 
 use {
     super::{crash_message, limit_message},
@@ -25,101 +25,103 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Milliseconds that stand for "never" or "not known".
-const NEVER_MS: u32 = u32::MAX;
+/// Number of milliseconds that stands for "never" or "unknown".
+const NO_TIME_MS: u32 = u32::MAX;
 
-/// Added to a proof's age before it is cut to whole milliseconds: on its way it must not become younger.
-const ROUNDED_UP: Duration = Duration::from_millis(1);
+/// Added to the age of a proof before it is truncated to milliseconds, since encoding must never make a proof look newer.
+const PROOF_AGE_MARGIN: Duration = Duration::from_millis(1);
 
-/// What the asker has; 0 for what it needs whole.
+/// What the requester already has, as versions and positions; 0 for what it needs in full.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct HeldNews {
     /// Version of its configuration.
     pub config_version: u64,
-    /// The store's position up to which it knows the backend servers.
+    /// The store position up to which it knows the backend servers.
     pub backends_position: StorePosition,
-    /// The store's position up to which it knows the hosts.
+    /// The store position up to which it knows the hosts.
     pub hosts_position: StorePosition,
-    /// It cannot read the configuration from the store.
+    /// Whether it needs even a large configuration, since it cannot read it from the store.
     pub wants_config: bool,
-    /// How long the answer may wait for something newer.
+    /// How long the request may be held until there is something newer.
     pub wait: Duration,
-    /// It was just started and knows no hosts yet.
+    /// Whether it has just started and knows no hosts yet.
     pub is_starting: bool,
     /// Its availability zone.
     pub zone: FastStr,
-    /// Where it can be asked itself; none where that is not said.
+    /// The address at which it answers requests of other hosts, if given.
     pub peers: Option<SocketAddr>,
-    /// What it was told of the asked host's book of requests that end their servers.
+    /// The position up to which it has the crash records of the receiver.
     pub crashes: CachePosition,
-    /// The same of its book of rate-limited servers.
+    /// The position up to which it has the receiver's records of rate-limited servers.
     pub limits: CachePosition,
 }
 
 impl HeldNews {
-    /// Whether the asker has a configuration and a list of backend servers.
-    pub fn has_all(&self) -> bool {
+    /// Whether the requester has a configuration and a list of backend servers.
+    pub fn has_complete_view(&self) -> bool {
         self.config_version > 0 && self.backends_position.is_known()
     }
 }
 
-/// How new a reporter's own view is.
+/// How current a reporter's view of the store is.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReportedView {
-    /// How old it may be; none where there is none.
+    /// Upper bound of its age; none if the reporter has no view.
     pub age: Option<Duration>,
     /// Version of its configuration.
     pub config_version: u64,
-    /// The store's position up to which it knows the backend servers.
+    /// The store position up to which it knows the backend servers.
     pub backends_position: StorePosition,
 }
 
-/// What one host tells another.
+/// The response to a host that follows the sender.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ClusterNews {
-    /// How old the sender's view of configuration and backend servers may be; none where it has none.
+    /// Upper bound of the age of the sender's view of the configuration and the backend servers; none if it has none.
     pub age: Option<Duration>,
-    /// How long ago the sender's configuration was surely the newest; none where that was never so.
+    /// How long ago the sender's configuration was proved to be the newest; none if it never was.
     pub proof: Option<Duration>,
-    /// How long the sender held the question until it answered.
+    /// How long the sender held the request before it answered.
     pub held: Duration,
-    /// How long ago the store was back after an outage in which entries may have lapsed, if there was one.
+    /// How long ago the store recovered from an outage during which entries may have expired, if there was one.
     pub outage: Option<Duration>,
-    /// Version of the sender's configuration; 0 where it has none.
+    /// Version of the sender's configuration; 0 if it has none.
     pub config_version: u64,
-    /// The configuration, if the asker lacks it and it is small or asked for.
+    /// The configuration, if the requester lacks it and it is small or was requested.
     pub config: Option<RelayConfig>,
-    /// The backend servers.
+    /// Changes of the backend servers.
     pub backends: KindNews,
-    /// The hosts.
+    /// Changes of the hosts.
     pub hosts: KindNews,
-    /// The store does not answer the sender, or whom the sender follows.
+    /// Whether the store does not answer the sender, or the host that the sender follows.
     pub is_lost: bool,
-    /// The hosts of the asker's zone that it may follow, in order; only for one that starts in a large fleet, and
-    /// then in place of everything else.
+    /// Hosts that the requester may follow, in order of preference. Only sent to a host that starts in a large fleet, and
+    /// then in entry of everything else.
     pub guides: Vec<HostEntry>,
-    /// What the asker lacks of the sender's book of requests that end their servers.
+    /// The crash records of the sender that the requester lacks.
     pub crashes: CrashNews,
-    /// The same of its book of rate-limited servers.
+    /// The sender's records of rate-limited servers that the requester lacks.
     pub limits: CacheUpdates<LimitUpdate>,
 }
 
 impl ClusterNews {
-    /// Until when the sender's view is known to be the newest, on the clock of an asker that asked at `asked`; none
-    /// where the sender has no view.
+    /// The last time at which the sender's view was known to be current, on the clock of a requester that sent its request
+    /// at `sent_at`; none if the sender has no view.
     ///
-    /// Never later than it was: counted from the answer's arrival, each hop would make the view newer by the
-    /// time that the answer took, and hosts that hear each other's while the store is away would take it for new forever.
-    pub fn confirmed(&self, asked: Duration) -> Option<PastTime> {
-        Some(PastTime::at(asked + self.held).before(self.age?))
+    /// This is a lower bound. If the age were counted from the arrival of the response, each hop would make the view look
+    /// newer by the latency of the response, and hosts that follow each other while the store is unavailable would consider
+    /// an old view current forever.
+    pub fn confirmed(&self, sent_at: Duration) -> Option<PastTime> {
+        Some(PastTime::at(sent_at + self.held).before(self.age?))
     }
 
-    /// When the sender's configuration was surely the newest, on the clock of an asker that asked at `asked`.
-    pub fn proved(&self, asked: Duration) -> Option<PastTime> {
-        Some(PastTime::at(asked + self.held).before(self.proof?))
+    /// When the sender's configuration was proved to be the newest, on the clock of a requester that sent its request at
+    /// `sent_at`.
+    pub fn proved(&self, sent_at: Duration) -> Option<PastTime> {
+        Some(PastTime::at(sent_at + self.held).before(self.proof?))
     }
 
-    /// Whether there is anything that an asker with this lacks.
+    /// Whether this contains anything that the requester lacks.
     pub fn has_more_than(&self, held: &HeldNews) -> bool {
         let kinds = [&self.backends, &self.hosts];
         self.config_version > held.config_version
@@ -131,16 +133,16 @@
     }
 }
 
-/// A time in whole milliseconds, as the wire has it.
+/// Encodes a duration as whole milliseconds.
 pub fn to_ms(time: Option<Duration>) -> u32 {
-    time.map_or(NEVER_MS, |time| {
-        u32::try_from(time.as_millis()).unwrap_or(NEVER_MS)
+    time.map_or(NO_TIME_MS, |time| {
+        u32::try_from(time.as_millis()).unwrap_or(NO_TIME_MS)
     })
 }
 
-/// A time of the wire; none for the number that stands for that.
+/// Decodes a duration; none for the reserved number.
 pub fn from_ms(millis: u32) -> Option<Duration> {
-    (millis != NEVER_MS).then(|| Duration::from_millis(u64::from(millis)))
+    (millis != NO_TIME_MS).then(|| Duration::from_millis(u64::from(millis)))
 }
 
 fn to_json<T: Serialize>(content: &T) -> Result<Vec<u8>> {
@@ -151,7 +153,7 @@
     serde_json::from_slice(bytes).map_err(|error| Error::failed(error.to_string()))
 }
 
-/// Writes what the asker has.
+/// Encodes what the requester has.
 pub fn write_held(mut to: held_news::Builder<'_>, held: &HeldNews) {
     to.set_config_version(held.config_version);
     to.set_backends_revision(held.backends_position.number());
@@ -169,7 +171,7 @@
     }
 }
 
-// None for the empty text, which stands for no address.
+// An empty text stands for no address.
 fn read_address(text: &str) -> Result<Option<SocketAddr>> {
     if text.is_empty() {
         return Ok(None);
@@ -177,10 +179,10 @@
     let address = text.parse();
     address
         .map(Some)
-        .map_err(|_| Error::failed(format!("{text:?} is no address")))
+        .map_err(|_| Error::failed(format!("invalid address: {text:?}")))
 }
 
-/// Reads what the asker has; what is not well formed is an error.
+/// Decodes what the requester has; fails if it is malformed.
 pub fn read_held(from: held_news::Reader<'_>) -> Result<HeldNews> {
     Ok(HeldNews {
         config_version: from.get_config_version(),
@@ -223,7 +225,7 @@
     })
 }
 
-// Empty bytes stand for an empty list.
+// No bytes stand for an empty list.
 fn read_json_list<T: DeserializeOwned>(bytes: &[u8]) -> Result<Vec<T>> {
     match bytes.is_empty() {
         true => Ok(Vec::new()),
@@ -231,14 +233,14 @@
     }
 }
 
-/// Writes news.
+/// Encodes a response.
 pub fn write_news(mut to: cluster_news::Builder<'_>, news: &ClusterNews) -> Result<()> {
     to.set_age_ms(to_ms(news.age));
-    to.set_proof_ms(to_ms(news.proof.map(|proof| proof + ROUNDED_UP)));
+    to.set_proof_ms(to_ms(news.proof.map(|proof| proof + PROOF_AGE_MARGIN)));
     to.set_outage_ms(to_ms(news.outage));
     to.set_config_version(news.config_version);
     to.set_is_lost(news.is_lost);
-    to.set_held_ms(news.held.as_millis().try_into().unwrap_or(NEVER_MS));
+    to.set_held_ms(news.held.as_millis().try_into().unwrap_or(NO_TIME_MS));
     if let Some(config) = &news.config {
         to.set_config(&to_json(config)?);
     }
@@ -254,12 +256,12 @@
     to.set_limit_book(place.book);
     to.set_limit_revision(place.revision);
     let list = to.reborrow().init_limits(marks.len() as u32);
-    limit_message::write_marks(list, marks);
+    limit_message::write_updates(list, marks);
     write_kind(to.reborrow().init_backends(), &news.backends)?;
     write_kind(to.init_hosts(), &news.hosts)
 }
 
-/// Reads news; what is not well formed is an error.
+/// Decodes a response; fails if it is malformed.
 pub fn read_news(from: cluster_news::Reader<'_>) -> Result<ClusterNews> {
     let config = from.get_config()?;
     let config = match config.is_empty() {
@@ -290,23 +292,23 @@
                 book: from.get_limit_book(),
                 revision: from.get_limit_revision(),
             },
-            marks: limit_message::read_marks(from.get_limits()?)?,
+            marks: limit_message::read_updates(from.get_limits()?)?,
         },
     })
 }
 
-/// Tokens that a block of the wire stands for.
+/// Tokens per memory block as encoded in load reports.
 const BLOCK_TOKENS: u64 = 16;
 
-/// Writes a report.
+/// Encodes a load report.
 pub fn write_report(mut to: load_report::Builder<'_>, report: &LoadReport) {
     let mut loads = to.reborrow().init_loads(report.loads.len() as u32);
     for (index, load) in report.loads.iter().enumerate() {
-        let mut place = loads.reborrow().get(index as u32);
-        place.set_key(load.engine.0);
+        let mut entry = loads.reborrow().get(index as u32);
+        entry.set_key(load.engine.0);
         let blocks = load.memory_tokens.div_ceil(BLOCK_TOKENS);
-        place.set_memory_blocks(u16::try_from(blocks).unwrap_or(u16::MAX));
-        place.set_passed_over(u16::try_from(load.passed_over).unwrap_or(u16::MAX));
+        entry.set_memory_blocks(u16::try_from(blocks).unwrap_or(u16::MAX));
+        entry.set_passed_over(u16::try_from(load.passed_over).unwrap_or(u16::MAX));
     }
     let mut wanted = to.reborrow().init_wanted(report.wanted.len() as u32);
     for (index, key) in report.wanted.iter().enumerate() {
@@ -316,18 +318,18 @@
     write_uses(to.reborrow(), &report.accounts);
     let mut demands = to.init_demands(report.demands.len() as u32);
     for (index, demand) in report.demands.iter().enumerate() {
-        let mut place = demands.reborrow().get(index as u32);
-        place.set_service(demand.service.as_str());
-        place.set_requests(u32::try_from(demand.requests).unwrap_or(u32::MAX));
-        place.set_repeats(u32::try_from(demand.repeats).unwrap_or(u32::MAX));
+        let mut entry = demands.reborrow().get(index as u32);
+        entry.set_service(demand.service.as_str());
+        entry.set_requests(u32::try_from(demand.requests).unwrap_or(u32::MAX));
+        entry.set_repeats(u32::try_from(demand.repeats).unwrap_or(u32::MAX));
     }
 }
 
-// A share of 1 on the wire.
-const WHOLE_SHARE: f64 = 65_535.0;
+// Encoding of a share of 1.
+const FULL_SHARE: f64 = 65_535.0;
 
 fn write_uses(mut to: load_report::Builder<'_>, report: &UseReport) {
-    write_list(
+    write_account_uses(
         to.reborrow().init_uses(report.uses.len() as u32),
         &report.uses,
     );
@@ -335,34 +337,34 @@
     to.set_knows_near(true);
     let mut nears = to.init_near(list.len() as u32);
     for (index, near) in list.iter().enumerate() {
-        let mut place = nears.reborrow().get(index as u32);
-        place.set_account(near.account.0);
-        place.set_share((near.share * WHOLE_SHARE) as u16);
+        let mut entry = nears.reborrow().get(index as u32);
+        entry.set_account(near.account.0);
+        entry.set_share((near.share * FULL_SHARE) as u16);
     }
 }
 
 fn read_uses(from: load_report::Reader<'_>) -> Result<UseReport> {
     let near = from.get_near()?.iter().map(|near| NearAccount {
         account: AccountKey(near.get_account()),
-        share: f64::from(near.get_share()) / WHOLE_SHARE,
+        share: f64::from(near.get_share()) / FULL_SHARE,
     });
     Ok(UseReport {
-        uses: read_list(from.get_uses()?),
+        uses: read_account_uses(from.get_uses()?),
         near: from.get_knows_near().then(|| near.collect()),
     })
 }
 
-fn write_list(mut to: struct_list::Builder<'_, account_use::Owned>, uses: &[AccountUse]) {
+fn write_account_uses(mut to: struct_list::Builder<'_, account_use::Owned>, uses: &[AccountUse]) {
     for (index, used) in uses.iter().enumerate() {
-        let mut place = to.reborrow().get(index as u32);
-        place.set_account(used.account.0);
-        place.set_asked(used.asked);
-        place.set_taken(used.taken);
-        place.set_level(used.level);
+        let mut entry = to.reborrow().get(index as u32);
+        entry.set_account(used.account.0);
+        entry.set_asked(used.asked);
+        entry.set_taken(used.taken);
+        entry.set_level(used.level);
     }
 }
 
-fn read_list(from: struct_list::Reader<'_, account_use::Owned>) -> Vec<AccountUse> {
+fn read_account_uses(from: struct_list::Reader<'_, account_use::Owned>) -> Vec<AccountUse> {
     let uses = from.iter().map(|used| AccountUse {
         account: AccountKey(used.get_account()),
         asked: used.get_asked(),
@@ -372,25 +374,25 @@
     uses.collect()
 }
 
-/// Writes the sums of a ledger.
+/// Encodes the totals of a ledger.
 pub fn write_sums(mut to: ledger_sums::Builder<'_>, sums: &LedgerSums) {
     to.set_id(sums.id);
     to.set_age_ms(sums.age.as_millis() as u64);
     to.set_zone(sums.zone.as_str());
-    write_list(to.init_uses(sums.uses.len() as u32), &sums.uses);
+    write_account_uses(to.init_uses(sums.uses.len() as u32), &sums.uses);
 }
 
-/// Reads the sums of a ledger; what is not well formed is an error.
+/// Decodes the totals of a ledger; fails if they are malformed.
 pub fn read_sums(from: ledger_sums::Reader<'_>) -> Result<LedgerSums> {
     Ok(LedgerSums {
         id: from.get_id(),
         age: Duration::from_millis(from.get_age_ms()),
         zone: FastStr::new(from.get_zone()?.to_str()?),
-        uses: read_list(from.get_uses()?),
+        uses: read_account_uses(from.get_uses()?),
     })
 }
 
-/// Reads a report; what is not well formed is an error.
+/// Decodes a load report; fails if it is malformed.
 pub fn read_report(from: load_report::Reader<'_>) -> Result<LoadReport> {
     let loads = from.get_loads()?.iter().map(|load| EngineLoad {
         engine: EngineKey(load.get_key()),
--- a/src/relay/news/mod.rs
+++ b/src/relay/news/mod.rs
@@ -1,5 +1,8 @@
-//! What hosts tell each other: news of the configuration, the backend servers and the hosts, which few
-//! hosts of a zone read from the store for the others; and what each one's requests take at engines.
+//! Exchange of state between hosts.
+//!
+//! A few hosts read the configuration, the backend servers and the hosts from the store; all others follow a host that
+//! passes on the changes. Hosts also exchange the load of their requests, the use of client accounts, permits at
+//! rate-limited servers, and findings such as requests that crash their servers.
 
 mod crash_message;
 pub(crate) mod entry;
--- a/src/relay/news/tell.rs
+++ b/src/relay/news/tell.rs
@@ -59,7 +59,7 @@
 // running still poll them if they are heads of their zones.
 fn remember_informed_host(parts: &RelayParts, held: &HeldNews) {
     let has_complete_view = parts.cluster.borrow().age(parts.now()).is_some();
-    if !has_complete_view && held.has_all() {
+    if !has_complete_view && held.has_complete_view() {
         parts.informed.set(held.peers);
     }
 }
