--- a/tests/relay_news.rs
+++ b/tests/relay_news.rs
@@ -1,4 +1,4 @@
-//! Who reads the store, and whom each host asks.
+//! Selection of the hosts that read the store, and of the host that each other host follows.
 
 use {
     bayplank::relay::{self, HostEntry, NewsSource, SourceChoice, SourceRules},
@@ -9,8 +9,8 @@
     },
 };
 
-/// Where changes have to be in force within two seconds.
-const OLD_NEWS: Duration = Duration::from_millis(1_400);
+/// Age at which a view is out of date if changes have to be in force within two seconds.
+const OUTDATED_AGE: Duration = Duration::from_millis(1_400);
 
 fn millis(count: u64) -> Duration {
     Duration::from_millis(count)
@@ -31,17 +31,17 @@
     names.map(|name| host(&name, "z-a")).collect()
 }
 
-/// How long a host of the tests waits for others at its start.
-const START_PATIENCE: Duration = Duration::from_millis(500);
+/// How long a host in these tests waits for others at its start.
+const START_TIMEOUT: Duration = Duration::from_millis(500);
 
 fn choice_of(own: &str, hosts: &[HostEntry]) -> SourceChoice {
     let zone = hosts.iter().find(|entry| entry.name == own);
     let mut choice = SourceChoice::new(SourceRules {
         own: FastStr::new(own),
         zone: zone.map_or("z-a".into(), |entry| entry.zone.clone()),
-        old_news: OLD_NEWS,
-        start_patience: START_PATIENCE,
-        told_patience: 2 * START_PATIENCE,
+        old_news: OUTDATED_AGE,
+        start_patience: START_TIMEOUT,
+        told_patience: 2 * START_TIMEOUT,
     });
     choice.set_hosts(hosts.iter());
     choice
@@ -54,7 +54,7 @@
         .collect()
 }
 
-// Whom each host follows that does not read the store itself.
+// The host that each host follows, for those that do not read the store themselves.
 fn followed(hosts: &[HostEntry], now: Duration) -> BTreeMap<FastStr, FastStr> {
     let mut followed = BTreeMap::new();
     for entry in hosts {
@@ -89,24 +89,24 @@
 }
 
 #[test]
-fn every_host_hears_a_reader_over_three_others_at_the_most() {
+fn every_host_is_at_most_three_hops_from_a_reader() {
     for (count, hosts) in [(1, 4), (3, 3), (5, 59), (7, 60)] {
         let fleet = zones(count, hosts);
         let readers = readers(&fleet, Duration::ZERO);
         let followed = followed(&fleet, millis(9_000));
         for entry in &fleet {
             let mut name = &entry.name;
-            let mut steps = 0;
+            let mut hops = 0;
             while !readers.contains(name) {
-                (name, steps) = (&followed[name], steps + 1);
+                (name, hops) = (&followed[name], hops + 1);
             }
-            assert!(steps <= 3, "{}: {steps}", entry.name);
+            assert!(hops <= 3, "{}: {hops}", entry.name);
         }
     }
 }
 
 #[test]
-fn a_large_zone_follows_its_head_and_one_that_stands_by() {
+fn a_large_zone_follows_its_head_and_a_standby() {
     let large = zone(30);
     let followed = followed(&large, millis(9_000));
     let mut counts: BTreeMap<&FastStr, usize> = BTreeMap::new();
@@ -133,21 +133,21 @@
 }
 
 #[test]
-fn news_are_old_in_time_for_an_own_reading() {
-    assert_eq!(relay::old_news(millis(2_000)), OLD_NEWS);
+fn views_are_outdated_early_enough_to_read_the_store() {
+    assert_eq!(relay::old_news(millis(2_000)), OUTDATED_AGE);
     assert_eq!(relay::old_news(millis(3_000)), millis(1_800));
     assert_eq!(relay::old_news(Duration::ZERO), millis(1_000));
 }
 
 #[test]
-fn a_host_that_was_just_started_asks_others_and_the_store_only_when_that_takes_too_long() {
+fn a_starting_host_polls_others_first_and_reads_the_store_after_a_timeout() {
     let mut alone = choice_of("h-1", &[]);
     assert_eq!(alone.choose(None, false, millis(1)), NewsSource::Seeds);
-    assert_eq!(alone.choose(None, false, START_PATIENCE), NewsSource::Store);
+    assert_eq!(alone.choose(None, false, START_TIMEOUT), NewsSource::Store);
     alone.note_seed();
-    assert_eq!(alone.choose(None, false, START_PATIENCE), NewsSource::Seeds);
+    assert_eq!(alone.choose(None, false, START_TIMEOUT), NewsSource::Seeds);
     assert_eq!(
-        alone.choose(None, false, 2 * START_PATIENCE),
+        alone.choose(None, false, 2 * START_TIMEOUT),
         NewsSource::Store
     );
     let hosts = zone(4);
@@ -158,10 +158,7 @@
         let next = choice.choose(age, false, millis(30));
         assert!(matches!(next, NewsSource::Host(entry) if entry.name == *head));
     }
-    assert_eq!(
-        choice.choose(None, false, START_PATIENCE),
-        NewsSource::Store
-    );
+    assert_eq!(choice.choose(None, false, START_TIMEOUT), NewsSource::Store);
     assert_eq!(
         choice_of(head, &hosts).choose(None, false, millis(1)),
         NewsSource::Store
@@ -169,43 +166,43 @@
 }
 
 #[test]
-fn while_the_store_is_away_all_follow_the_same_host_and_one_at_a_time_tries_the_store() {
+fn while_the_store_is_unavailable_hosts_keep_following_and_one_at_a_time_probes_it() {
     let hosts = zone(30);
     let head = readers(&hosts, Duration::ZERO)[0].clone();
     let before = followed(&hosts, millis(9_000));
     for age in [2_300, 4_300, 8_300] {
-        let mut trying = 0;
+        let mut probing = 0;
         for own in hosts.iter().filter(|entry| entry.name != head) {
             let mut choice = choice_of(&own.name, &hosts);
             choice.note_heard(&head, millis(9_000));
             match choice.choose(Some(millis(age)), false, millis(9_100)) {
                 NewsSource::Host(entry) => assert_eq!(entry.name, before[&own.name]),
-                _ => trying += 1,
+                _ => probing += 1,
             }
         }
-        assert_eq!(trying, 1, "silent for {age} ms");
+        assert_eq!(probing, 1, "unavailable for {age} ms");
     }
 }
 
 #[test]
-fn a_host_that_a_silent_store_answered_goes_on_reading_and_others_take_their_turns() {
+fn a_host_whose_probe_succeeds_keeps_reading_and_others_take_turns() {
     let hosts = zone(30);
     let head = readers(&hosts, Duration::ZERO)[0].clone();
-    let mut tried = BTreeSet::new();
+    let mut probed = BTreeSet::new();
     let mut served = None;
     for age in (3_000..60_000).step_by(1_000) {
         for own in hosts.iter().filter(|entry| entry.name != head) {
             let mut choice = choice_of(&own.name, &hosts);
             choice.note_heard(&head, millis(age));
             if choice.choose(Some(millis(age)), false, millis(age)) == NewsSource::Store {
-                tried.insert(own.name.clone());
+                probed.insert(own.name.clone());
                 served = Some((choice, age));
             }
         }
     }
-    assert!(tried.len() > 15, "{} of 29 in 57 permits", tried.len());
-    // The store answers it: it goes on reading, so that it knows the next change at once, until the head hears from the
-    // store again; it reads at once when the others' news are old.
+    assert!(probed.len() > 15, "{} of 29 in 57 turns", probed.len());
+    // After a successful probe the host keeps reading, so that it gets the next change at once, until the store answers the
+    // head again. It resumes reading at once when the view of the others is out of date.
     let (mut choice, at) = served.unwrap();
     for later in [300, 2_000, 5_000] {
         let next = choice.choose(Some(millis(10)), true, millis(at + later));
@@ -218,7 +215,7 @@
     choice.note_heard(&head, millis(at + 7_600));
     let again = choice.choose(Some(millis(2_300)), false, millis(at + 7_600));
     assert_eq!(again, NewsSource::Store);
-    // Where the store falls silent to it too, it follows after its turn.
+    // If the store stops answering this host too, it follows another host after its turn.
     assert!(!choice.is_served(millis(at + 7_600)));
 }
 
@@ -233,7 +230,7 @@
 }
 
 #[test]
-fn who_hears_nobody_reads_the_store_for_a_while_however_new_its_news() {
+fn a_host_without_answers_reads_the_store_for_a_while_even_with_a_fresh_view() {
     let hosts = zone(4);
     let head = readers(&hosts, Duration::ZERO).remove(0);
     let other = hosts.iter().find(|entry| entry.name != head).unwrap();
@@ -259,7 +256,7 @@
 }
 
 #[test]
-fn a_silent_reader_is_passed_over_longer_and_longer_and_the_next_takes_its_place() {
+fn an_unresponsive_reader_is_replaced_with_exponential_backoff() {
     let hosts = zone(4);
     let reader = readers(&hosts, Duration::ZERO).remove(0);
     let others: Vec<_> = hosts.iter().filter(|entry| entry.name != reader).collect();
@@ -277,12 +274,12 @@
             .filter(|choice| choice.is_reader(now))
             .count()
     };
-    assert_eq!(at(millis(5_900)), 1, "one of the others reads");
-    assert_eq!(at(millis(6_100)), 0, "the first is tried again");
+    assert_eq!(at(millis(5_900)), 1, "another host reads in its place");
+    assert_eq!(at(millis(6_100)), 0, "the first reader is tried again");
 }
 
 #[test]
-fn the_heads_of_a_lost_zone_are_replaced_by_another_zones() {
+fn readers_in_a_lost_zone_are_replaced_by_heads_of_other_zones() {
     let fleet = zones(5, 3);
     let named = readers(&fleet, Duration::ZERO);
     let left: Vec<_> = fleet
@@ -305,7 +302,7 @@
 }
 
 #[test]
-fn a_starting_host_is_told_the_hosts_it_would_follow_if_it_knew_all() {
+fn a_starting_host_gets_the_hosts_that_it_would_follow_with_the_full_list() {
     let fleet = zones(5, 59);
     let followed = followed(&fleet, millis(9_000));
     for entry in fleet.iter().step_by(7) {
@@ -324,7 +321,7 @@
 }
 
 #[test]
-fn who_follows_the_standby_finds_out_by_its_reports_that_the_head_is_gone() {
+fn a_follower_of_the_standby_notices_a_lost_head_by_failed_reports() {
     let hosts = zone(12);
     let now = millis(1_000);
     let followed = followed(&hosts, now);
@@ -340,7 +337,7 @@
     assert_eq!(choice.head(now).unwrap().name, head);
     choice.note_unreported(&head, now);
     assert_eq!(choice.head(now).unwrap().name, standby);
-    // It still follows whom it followed, and tries the head again later.
+    // It keeps following the standby, and tries to report to the head again later.
     choice.note_heard("", now);
     let source = choice.choose(Some(millis(100)), false, now);
     assert_eq!(source, NewsSource::Host(ordered[1].clone()));
@@ -348,7 +345,7 @@
 }
 
 #[test]
-fn a_head_that_knows_nothing_is_passed_over_for_a_moment_and_longer_once_it_is_silent() {
+fn a_head_without_a_view_is_skipped_briefly_and_longer_once_it_stops_answering() {
     let hosts = zone(4);
     let head = readers(&hosts, Duration::ZERO).remove(0);
     let other = hosts.iter().find(|entry| entry.name != head).unwrap();
@@ -361,16 +358,19 @@
     assert!(follows_head(&mut choice, 1_000));
     choice.note_unknowing(&head, millis(1_000));
     assert!(!follows_head(&mut choice, 1_900));
-    assert!(follows_head(&mut choice, 2_000), "it may know by now");
+    assert!(
+        follows_head(&mut choice, 2_000),
+        "it may have a view by now"
+    );
     choice.note_silent(&head, millis(2_000));
     assert!(!follows_head(&mut choice, 3_900));
     assert!(follows_head(&mut choice, 4_000));
 }
 
 #[test]
-fn news_are_old_at_the_age_at_which_others_are_asked() {
+fn a_view_is_outdated_from_the_age_at_which_others_are_polled() {
     let choice = choice_of("h-1", &zone(4));
     assert!(!choice.is_old(None));
-    assert!(!choice.is_old(Some(OLD_NEWS - millis(1))));
-    assert!(choice.is_old(Some(OLD_NEWS)));
+    assert!(!choice.is_old(Some(OUTDATED_AGE - millis(1))));
+    assert!(choice.is_old(Some(OUTDATED_AGE)));
 }
