--- a/src/relay/host.rs
+++ b/src/relay/host.rs
@@ -12,8 +12,8 @@
             feed::StoreFeed,
             findings::FindingShare,
             follow::NewsFollower,
-            link::{NewsAnswers, NewsLinks},
             permits::PermitLink,
+            rpc::{NewsClient, NewsHandlers},
             settle::LedgerLink,
             share::LoadShare,
         },
@@ -139,7 +139,7 @@
         let metrics = Arc::new(HostMetrics::default());
         let feed = StoreFeed::start(self.parts.clone(), self.store.clone());
         let clock = self.parts.clock.clone();
-        let links = Rc::new(NewsLinks::new(metrics.clone(), clock.clone()));
+        let links = Rc::new(NewsClient::new(metrics.clone(), clock.clone()));
         let follower = NewsFollower::start(self.parts.clone(), feed, links.clone());
         LedgerLink::start(self.parts.clone(), follower.clone(), links.clone());
         let permits = PermitLink::start(self.parts.clone(), links.clone());
@@ -148,21 +148,21 @@
         let parts = self.parts.clone();
         let (charge_parts, sums_parts) = (parts.clone(), parts.clone());
         let trial_parts = parts.clone();
-        let answers = NewsAnswers {
+        let handlers = NewsHandlers {
             clock,
             permits: Box::new(move |ask, is_passed_on| {
                 permits.clone().answer(ask, is_passed_on).boxed_local()
             }),
             charges: Box::new(move |account, units| charge_parts.answer_charge(account, units)),
-            sums: Box::new(move |theirs| sums_parts.answer_sums(&theirs)),
+            exchange: Box::new(move |theirs| sums_parts.answer_sums(&theirs)),
             findings: Box::new(move |told, is_zone| findings.take_told(&told, is_zone)),
             trials: Box::new(move |digest| trial_parts.grant_trial(digest)),
-            news: Box::new(move |held| news::tell_news(parts.clone(), held).boxed_local()),
-            loads: Box::new(move |reporter, loads, view| share.answer(reporter, loads, view)),
+            follow: Box::new(move |held| news::tell_news(parts.clone(), held).boxed_local()),
+            reports: Box::new(move |reporter, loads, view| share.answer(reporter, loads, view)),
         };
         critical_task::spawn_critical(
             "host requests",
-            news::serve_news(listener, answers, metrics),
+            news::serve_news(listener, handlers, metrics),
         );
     }
 
--- a/src/relay/news/findings.rs
+++ b/src/relay/news/findings.rs
@@ -5,7 +5,7 @@
 //! receive them in the response to their next poll. A send that fails is repeated.
 
 use {
-    super::{follow::NewsFollower, link::NewsLinks, targets::ZoneTargets},
+    super::{follow::NewsFollower, rpc::NewsClient, targets::ZoneTargets},
     crate::{
         peer,
         relay::{
@@ -58,7 +58,7 @@
 pub struct FindingShare {
     parts: Rc<RelayParts>,
     follower: Rc<NewsFollower>,
-    links: Rc<NewsLinks>,
+    client: Rc<NewsClient>,
     targets: ZoneTargets,
     // The revisions of this host's findings up to which each target has received them.
     sent_revisions: RefCell<BTreeMap<FindingsTarget, SharedRevisions>>,
@@ -82,12 +82,12 @@
     pub fn start(
         parts: Rc<RelayParts>,
         follower: Rc<NewsFollower>,
-        links: Rc<NewsLinks>,
+        client: Rc<NewsClient>,
     ) -> Rc<Self> {
         let share = Rc::new(Self {
             parts,
             follower,
-            links,
+            client,
             targets: ZoneTargets::default(),
             sent_revisions: RefCell::default(),
         });
@@ -128,7 +128,7 @@
 
     async fn fetch_from(&self, entry: HostEntry) {
         let held = self.follower.held(entry.peers, Duration::ZERO, false);
-        match self.links.follow(entry.peers, held, FETCH_TIMEOUT).await {
+        match self.client.follow(entry.peers, held, FETCH_TIMEOUT).await {
             Ok(news) => {
                 self.parts.take_crash_news(&news.crashes, entry.peers);
                 self.parts.take_limit_updates(&news.limits, entry.peers);
@@ -227,7 +227,7 @@
 
     async fn send(&self, entry: &HostEntry, findings: &SharedFindings, is_zone: bool) -> bool {
         let call = self
-            .links
+            .client
             .tell_findings(entry.peers, findings, is_zone, CALL_TIMEOUT);
         match call.await {
             Ok(()) => true,
@@ -247,7 +247,7 @@
             if entry.name == self.parts.settings.name {
                 return self.parts.grant_trial(digest);
             }
-            let call = self.links.allow_trial(entry.peers, digest, CALL_TIMEOUT);
+            let call = self.client.allow_trial(entry.peers, digest, CALL_TIMEOUT);
             match call.await {
                 Ok(is_allowed) => return is_allowed,
                 Err(error) => {
--- a/src/relay/news/follow.rs
+++ b/src/relay/news/follow.rs
@@ -3,8 +3,8 @@
 use {
     super::{
         feed::StoreFeed,
-        link::NewsLinks,
         message::{ClusterNews, HeldNews, ReportedView},
+        rpc::NewsClient,
         start,
     },
     crate::{
@@ -66,7 +66,7 @@
 pub struct NewsFollower {
     pub(super) parts: Rc<RelayParts>,
     pub(super) feed: Rc<StoreFeed>,
-    pub(super) links: Rc<NewsLinks>,
+    pub(super) client: Rc<NewsClient>,
     pub(super) choice: RefCell<SourceChoice>,
     last: RefCell<NewsSource>,
     // The hosts to follow that a seed suggested, used until the list of hosts is known.
@@ -83,7 +83,7 @@
 
 impl NewsFollower {
     /// Starts the tasks that follow other hosts.
-    pub fn start(parts: Rc<RelayParts>, feed: Rc<StoreFeed>, links: Rc<NewsLinks>) -> Rc<Self> {
+    pub fn start(parts: Rc<RelayParts>, feed: Rc<StoreFeed>, client: Rc<NewsClient>) -> Rc<Self> {
         let settings = &parts.settings;
         let (start_patience, told_patience) = start::start_timeouts(&parts);
         let rules = SourceRules {
@@ -96,7 +96,7 @@
         let follower = Rc::new(Self {
             parts,
             feed,
-            links,
+            client,
             choice: RefCell::new(SourceChoice::new(rules)),
             last: RefCell::new(NewsSource::Seeds),
             guides: RefCell::default(),
@@ -293,7 +293,7 @@
         // A host without a complete view requests the configuration too, since the store would not return it sooner.
         let held = self.held(entry.peers, hold, !self.has_complete_view());
         let sent_at = self.parts.now();
-        let answer = self.links.follow(entry.peers, held, timeout).await;
+        let answer = self.client.follow(entry.peers, held, timeout).await;
         let now = self.parts.now();
         match answer {
             Ok(news) => {
@@ -336,7 +336,7 @@
     async fn poll(&self, address: SocketAddr) {
         let held = self.held(address, Duration::ZERO, true);
         let sent_at = self.parts.now();
-        match self.links.follow(address, held, RESPONSE_TIMEOUT).await {
+        match self.client.follow(address, held, RESPONSE_TIMEOUT).await {
             Ok(news) => self.apply(news, address, sent_at).await,
             Err(error) => log::debug!("host at {address} did not answer a poll: {error}"),
         }
--- a/src/relay/news/mod.rs
+++ b/src/relay/news/mod.rs
@@ -10,10 +10,10 @@
 pub(crate) mod findings;
 pub(crate) mod follow;
 mod limit_message;
-pub(crate) mod link;
 pub(crate) mod message;
 pub(crate) mod permits;
 mod reachability;
+pub(crate) mod rpc;
 pub(crate) mod settle;
 pub(crate) mod share;
 mod start;
@@ -23,4 +23,4 @@
 mod targets;
 pub(crate) mod tell;
 
-pub use self::{feed::*, follow::*, link::*, message::*, share::*, tell::*};
+pub use self::{feed::*, follow::*, message::*, rpc::*, share::*, tell::*};
--- a/src/relay/news/permits.rs
+++ b/src/relay/news/permits.rs
@@ -2,7 +2,7 @@
 //! only a part of its own share.
 
 use {
-    super::link::NewsLinks,
+    super::rpc::NewsClient,
     crate::relay::{
         critical_task,
         link::HostEntry,
@@ -33,15 +33,15 @@
 /// Client and server side of the permit requests between hosts.
 pub struct PermitLink {
     parts: Rc<RelayParts>,
-    links: Rc<NewsLinks>,
+    client: Rc<NewsClient>,
 }
 
 impl PermitLink {
     /// Starts the expiry of limits and lets the host's tasks request permits through this client.
-    pub fn start(parts: Rc<RelayParts>, links: Rc<NewsLinks>) -> Rc<Self> {
+    pub fn start(parts: Rc<RelayParts>, client: Rc<NewsClient>) -> Rc<Self> {
         let link = Rc::new(Self {
             parts: parts.clone(),
-            links,
+            client,
         });
         critical_task::spawn_critical("server limit expiry", link.clone().run_expiry());
         let requester = link.clone();
@@ -102,7 +102,9 @@
         is_forwarded: bool,
         timeout: Duration,
     ) -> Option<PermitGrant> {
-        let call = self.links.deal(owner.peers, request, is_forwarded, timeout);
+        let call = self
+            .client
+            .deal(owner.peers, request, is_forwarded, timeout);
         let answer = call.await;
         let mut owners = self.parts.permits.owners.borrow_mut();
         match answer {
--- a/src/relay/news/link.rs
+++ b/src/relay/news/rpc.rs
@@ -31,48 +31,48 @@
 const MAX_WAIT_MS: u32 = 3_600_000;
 
 /// Answers a host that follows this one, once there is something newer or the wait is over.
-pub type NewsAnswer = dyn Fn(HeldNews) -> LocalBoxFuture<'static, ClusterNews>;
+pub type FollowHandler = dyn Fn(HeldNews) -> LocalBoxFuture<'static, ClusterNews>;
 
 /// Accepts a load report and how current the reporter's view is; returns the sum of the others' reports.
-pub type LoadAnswer = dyn Fn(LoadReporter, LoadReport, ReportedView) -> LoadReport;
+pub type ReportHandler = dyn Fn(LoadReporter, LoadReport, ReportedView) -> LoadReport;
 
 /// Admits a request of a client account, or returns its retry delay; none if the account is unknown.
-pub type ChargeCall = dyn Fn(AccountKey, u32) -> Option<Result<(), Duration>>;
+pub type ChargeHandler = dyn Fn(AccountKey, u32) -> Option<Result<(), Duration>>;
 
 /// Accepts findings of another host; the flag is set if it sends them on behalf of its whole zone.
-pub type FindingsTold = dyn Fn(SharedFindings, bool);
+pub type FindingsHandler = dyn Fn(SharedFindings, bool);
 
 /// Decides whether a request that is considered fatal to servers may be tried.
-pub type TrialCall = dyn Fn(RequestDigest) -> bool;
+pub type TrialHandler = dyn Fn(RequestDigest) -> bool;
 
 /// Accepts the totals of another ledger; returns those of this host's ledger and those known of others.
-pub type SumsCall = dyn Fn(LedgerSums) -> Vec<LedgerSums>;
+pub type ExchangeHandler = dyn Fn(LedgerSums) -> Vec<LedgerSums>;
 
 /// Allocates permits at a rate-limited server, or forwards the request; the flag is set if it was forwarded already.
-pub type DealCall = dyn Fn(PermitRequest, bool) -> LocalBoxFuture<'static, PermitGrant>;
+pub type PermitHandler = dyn Fn(PermitRequest, bool) -> LocalBoxFuture<'static, PermitGrant>;
 
 /// Handlers of the calls of other hosts.
-pub struct NewsAnswers {
+pub struct NewsHandlers {
     /// The clock from which ages in messages are computed.
     pub clock: HostClock,
     /// Answers hosts that follow this one.
-    pub news: Box<NewsAnswer>,
+    pub follow: Box<FollowHandler>,
     /// Accepts load reports.
-    pub loads: Box<LoadAnswer>,
+    pub reports: Box<ReportHandler>,
     /// Charges requests to the accounts in this host's ledger.
-    pub charges: Box<ChargeCall>,
+    pub charges: Box<ChargeHandler>,
     /// Exchanges totals with the ledgers of other hosts.
-    pub sums: Box<SumsCall>,
+    pub exchange: Box<ExchangeHandler>,
     /// Accepts findings: crash records and rate limits of servers.
-    pub findings: Box<FindingsTold>,
+    pub findings: Box<FindingsHandler>,
     /// Decides whether a request may be tried.
-    pub trials: Box<TrialCall>,
+    pub trials: Box<TrialHandler>,
     /// Allocates permits at rate-limited servers.
-    pub permits: Box<DealCall>,
+    pub permits: Box<PermitHandler>,
 }
 
 struct NewsServer {
-    answers: NewsAnswers,
+    handlers: NewsHandlers,
 }
 
 impl news_peer::Server for NewsServer {
@@ -82,7 +82,7 @@
         mut results: news_peer::FollowResults,
     ) -> Result<(), Error> {
         let held = message::read_held(params.get()?.get_held()?)?;
-        let news = (self.answers.news)(held).await;
+        let news = (self.handlers.follow)(held).await;
         message::write_news(results.get().init_news(), &news)
     }
 
@@ -103,7 +103,7 @@
             config_version: params.get_config_version(),
             backends_position: StorePosition::of_number(params.get_backends_revision()),
         };
-        let others = (self.answers.loads)(reporter, report, view);
+        let others = (self.handlers.reports)(reporter, report, view);
         message::write_report(results.get().init_others(), &others);
         Ok(())
     }
@@ -115,7 +115,7 @@
     ) -> Result<(), Error> {
         let params = params.get()?;
         let account = AccountKey(params.get_account());
-        let answer = (self.answers.charges)(account, params.get_units());
+        let answer = (self.handlers.charges)(account, params.get_units());
         let answer = answer.ok_or_else(|| Error::failed("unknown account".into()))?;
         let mut results = results.get();
         match answer {
@@ -131,7 +131,7 @@
         mut results: news_peer::ExchangeResults,
     ) -> Result<(), Error> {
         let theirs = message::read_sums(params.get()?.get_sums()?)?;
-        let all = (self.answers.sums)(theirs);
+        let all = (self.handlers.exchange)(theirs);
         write_all_sums(results.get(), &all);
         Ok(())
     }
@@ -146,7 +146,7 @@
             crashes: crash_message::read_marks(params.get_marks()?)?,
             limits: limit_message::read_updates(params.get_limits()?)?,
         };
-        (self.answers.findings)(findings, params.get_is_zone());
+        (self.handlers.findings)(findings, params.get_is_zone());
         Ok(())
     }
 
@@ -157,7 +157,7 @@
     ) -> Result<(), Error> {
         let params = params.get()?;
         let digest = crash_message::join_digest(params.get_high(), params.get_low());
-        let is_allowed = (self.answers.trials)(digest);
+        let is_allowed = (self.handlers.trials)(digest);
         results.get().set_is_allowed(is_allowed);
         Ok(())
     }
@@ -167,18 +167,18 @@
         params: news_peer::DealParams,
         mut results: news_peer::DealResults,
     ) -> Result<(), Error> {
-        let now = self.answers.clock.now();
+        let now = self.handlers.clock.now();
         let params = params.get()?;
         let permit_request = limit_message::read_permit_request(params, now)?;
-        let grant = (self.answers.permits)(permit_request, params.get_is_passed_on()).await;
-        limit_message::write_grant(results.get(), &grant, self.answers.clock.now());
+        let grant = (self.handlers.permits)(permit_request, params.get_is_passed_on()).await;
+        limit_message::write_grant(results.get(), &grant, self.handlers.clock.now());
         Ok(())
     }
 }
 
 /// Serves the calls of other hosts on a listening socket for as long as the host runs.
-pub async fn serve_news(listener: TcpListener, answers: NewsAnswers, metrics: Arc<HostMetrics>) {
-    let client: news_peer::Client = capnp_rpc::new_client(NewsServer { answers });
+pub async fn serve_news(listener: TcpListener, handlers: NewsHandlers, metrics: Arc<HostMetrics>) {
+    let client: news_peer::Client = capnp_rpc::new_client(NewsServer { handlers });
     peer::serve_peers(listener, client.client, metrics).await;
 }
 
@@ -190,13 +190,13 @@
 }
 
 /// Client for calls to other hosts, with one connection per host.
-pub struct NewsLinks {
+pub struct NewsClient {
     links: PeerLinks<news_peer::Client>,
     // The clock from which ages in messages are computed.
     clock: HostClock,
 }
 
-impl NewsLinks {
+impl NewsClient {
     /// Creates a client without connections.
     pub fn new(metrics: Arc<HostMetrics>, clock: HostClock) -> Self {
         Self {
--- a/src/relay/news/settle.rs
+++ b/src/relay/news/settle.rs
@@ -1,7 +1,7 @@
 //! Synchronizes the client account ledgers of the zones, and connects a host to the ledger of its own zone.
 
 use {
-    super::{follow::NewsFollower, link::NewsLinks, targets::ZoneTargets},
+    super::{follow::NewsFollower, rpc::NewsClient, targets::ZoneTargets},
     crate::{
         account::LedgerSums,
         relay::{
@@ -28,17 +28,17 @@
 pub struct LedgerLink {
     parts: Rc<RelayParts>,
     follower: Rc<NewsFollower>,
-    links: Rc<NewsLinks>,
+    client: Rc<NewsClient>,
     targets: ZoneTargets,
 }
 
 impl LedgerLink {
     /// Starts the exchange, and sets up the calls to the ledger of this host's zone.
-    pub fn start(parts: Rc<RelayParts>, follower: Rc<NewsFollower>, links: Rc<NewsLinks>) {
+    pub fn start(parts: Rc<RelayParts>, follower: Rc<NewsFollower>, client: Rc<NewsClient>) {
         let link = Rc::new(Self {
             parts,
             follower,
-            links,
+            client,
             targets: ZoneTargets::default(),
         });
         link.parts.accounts.set_ask(link.clone().ledger_call());
@@ -58,10 +58,10 @@
     fn ledger_call(self: Rc<Self>) -> Rc<LedgerAsk> {
         Rc::new(move |account, units, timeout| {
             let head = self.follower.head()?;
-            let links = self.links.clone();
+            let client = self.client.clone();
             let link = self.clone();
             let call = async move {
-                let answer = links.charge(head.peers, account, units, timeout).await;
+                let answer = client.charge(head.peers, account, units, timeout).await;
                 if let Err(error) = &answer {
                     log::debug!("cannot charge an account at host {}: {error}", head.name);
                     link.skip_unknown_head(&head);
@@ -108,7 +108,7 @@
     }
 
     async fn exchange_with(&self, entry: HostEntry, sums: &LedgerSums) {
-        let exchange = self.links.exchange(entry.peers, sums, EXCHANGE_TIMEOUT);
+        let exchange = self.client.exchange(entry.peers, sums, EXCHANGE_TIMEOUT);
         let answer = exchange.await;
         let now = self.parts.now();
         self.targets.record_result(&entry.name, answer.is_ok(), now);
--- a/src/relay/news/share.rs
+++ b/src/relay/news/share.rs
@@ -1,7 +1,7 @@
 //! Reports the load of this host's requests to the other hosts, and collects the load of theirs.
 
 use {
-    super::{follow::NewsFollower, link::NewsLinks, message::ReportedView, targets::ZoneTargets},
+    super::{follow::NewsFollower, message::ReportedView, rpc::NewsClient, targets::ZoneTargets},
     crate::{
         account::UseReport,
         relay::{
@@ -43,7 +43,7 @@
 pub struct LoadShare {
     parts: Rc<RelayParts>,
     follower: Rc<NewsFollower>,
-    links: Rc<NewsLinks>,
+    client: Rc<NewsClient>,
     board: RefCell<LoadBoard>,
     targets: ZoneTargets,
 }
@@ -53,12 +53,12 @@
     pub fn start(
         parts: Rc<RelayParts>,
         follower: Rc<NewsFollower>,
-        links: Rc<NewsLinks>,
+        client: Rc<NewsClient>,
     ) -> Rc<Self> {
         let share = Rc::new(Self {
             parts,
             follower,
-            links,
+            client,
             board: RefCell::default(),
             targets: ZoneTargets::default(),
         });
@@ -151,7 +151,7 @@
         let own = self.parts.own_report();
         let uses = own.accounts.uses.clone();
         let reporter = self.own_reporter();
-        let sent = self.links.share(
+        let sent = self.client.share(
             entry.peers,
             &reporter,
             &own,
@@ -183,7 +183,7 @@
             .other_zones(&self.parts.cluster.borrow(), own_zone, now);
         for entry in targets {
             let report = self.board.borrow().of_zone(self.parts.now());
-            let sent = self.links.share(
+            let sent = self.client.share(
                 entry.peers,
                 &reporter,
                 &report,
--- a/src/relay/news/start.rs
+++ b/src/relay/news/start.rs
@@ -46,7 +46,7 @@
             };
             let timeout = SEED_RESPONSE_TIMEOUT.min(left / 2);
             let sent_at = self.parts.now();
-            let answer = self.links.follow(address, held, timeout).await;
+            let answer = self.client.follow(address, held, timeout).await;
             if answer.is_ok() {
                 self.choice.borrow_mut().note_seed();
             }
--- a/src/relay/news/take.rs
+++ b/src/relay/news/take.rs
@@ -77,7 +77,7 @@
              requesting it from the host at {from}"
         );
         let held = self.held(from, Duration::ZERO, true);
-        match self.links.follow(from, held, RESPONSE_TIMEOUT).await {
+        match self.client.follow(from, held, RESPONSE_TIMEOUT).await {
             Ok(ClusterNews {
                 config: Some(config),
                 ..
