--- a/src/relay/host.rs
+++ b/src/relay/host.rs
@@ -9,7 +9,7 @@
         link::{StoreKind, StoreLink},
         news::{
             self, entry,
-            feed::StoreFeed,
+            feed::StoreReader,
             findings::FindingShare,
             follow::NewsFollower,
             permits::PermitLink,
@@ -137,10 +137,10 @@
     // Starts the tasks that read the store or follow other hosts, and that answer the hosts that follow this one.
     fn start_news_exchange(&self, listener: TcpListener) {
         let metrics = Arc::new(HostMetrics::default());
-        let feed = StoreFeed::start(self.parts.clone(), self.store.clone());
+        let reader = StoreReader::start(self.parts.clone(), self.store.clone());
         let clock = self.parts.clock.clone();
         let links = Rc::new(NewsClient::new(metrics.clone(), clock.clone()));
-        let follower = NewsFollower::start(self.parts.clone(), feed, links.clone());
+        let follower = NewsFollower::start(self.parts.clone(), reader, links.clone());
         LedgerLink::start(self.parts.clone(), follower.clone(), links.clone());
         let permits = PermitLink::start(self.parts.clone(), links.clone());
         let findings = FindingShare::start(self.parts.clone(), follower.clone(), links.clone());
--- a/src/relay/news/feed.rs
+++ b/src/relay/news/feed.rs
@@ -48,7 +48,7 @@
 
 /// Reads the store whenever this host is selected as a reader.
 #[derive(Debug)]
-pub struct StoreFeed {
+pub struct StoreReader {
     pub(super) parts: Rc<RelayParts>,
     store: Rc<StoreLink>,
     // Whether this host reads the configuration and the backend servers, and whether it reads the hosts.
@@ -64,10 +64,10 @@
     pub(super) logged_positions: LoggedPositions,
 }
 
-impl StoreFeed {
+impl StoreReader {
     /// Starts the tasks that read the store.
     pub fn start(parts: Rc<RelayParts>, store: Rc<StoreLink>) -> Rc<Self> {
-        let feed = Rc::new(Self {
+        let reader = Rc::new(Self {
             parts,
             store,
             reading: Cell::new(false),
@@ -78,14 +78,17 @@
             backends_unconfirmed: Cell::new(false),
             logged_positions: LoggedPositions::default(),
         });
-        critical_task::spawn_critical("configuration", feed.clone().watch_kind(StoreKind::Config));
+        critical_task::spawn_critical(
+            "configuration",
+            reader.clone().watch_kind(StoreKind::Config),
+        );
         critical_task::spawn_critical(
             "backend servers",
-            feed.clone().watch_kind(StoreKind::Backends),
+            reader.clone().watch_kind(StoreKind::Backends),
         );
-        critical_task::spawn_critical("hosts", feed.clone().watch_kind(StoreKind::Hosts));
-        critical_task::spawn_critical("entry expiry", feed.clone().run_expiry());
-        feed
+        critical_task::spawn_critical("hosts", reader.clone().watch_kind(StoreKind::Hosts));
+        critical_task::spawn_critical("entry expiry", reader.clone().run_expiry());
+        reader
     }
 
     /// Sets whether this host reads the configuration and the backend servers, and whether it reads the hosts.
--- a/src/relay/news/follow.rs
+++ b/src/relay/news/follow.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        feed::StoreFeed,
+        feed::StoreReader,
         message::{ClusterNews, HeldNews, ReportedView},
         rpc::NewsClient,
         start,
@@ -65,7 +65,7 @@
 /// Follows other hosts while this host is not a reader of the store.
 pub struct NewsFollower {
     pub(super) parts: Rc<RelayParts>,
-    pub(super) feed: Rc<StoreFeed>,
+    pub(super) reader: Rc<StoreReader>,
     pub(super) client: Rc<NewsClient>,
     pub(super) choice: RefCell<SourceChoice>,
     last: RefCell<NewsSource>,
@@ -83,7 +83,11 @@
 
 impl NewsFollower {
     /// Starts the tasks that follow other hosts.
-    pub fn start(parts: Rc<RelayParts>, feed: Rc<StoreFeed>, client: Rc<NewsClient>) -> Rc<Self> {
+    pub fn start(
+        parts: Rc<RelayParts>,
+        reader: Rc<StoreReader>,
+        client: Rc<NewsClient>,
+    ) -> Rc<Self> {
         let settings = &parts.settings;
         let (start_patience, told_patience) = start::start_timeouts(&parts);
         let rules = SourceRules {
@@ -95,7 +99,7 @@
         };
         let follower = Rc::new(Self {
             parts,
-            feed,
+            reader,
             client,
             choice: RefCell::new(SourceChoice::new(rules)),
             last: RefCell::new(NewsSource::Seeds),
@@ -181,14 +185,14 @@
                 NewsSource::Store => {
                     let was_complete = self.has_complete_view();
                     // A hanging call is only noticed after a second or more, an outdated view earlier.
-                    if self.feed.is_lost() || self.has_outdated_view() {
+                    if self.reader.is_lost() || self.has_outdated_view() {
                         self.poll_others().await;
                     }
                     // A host whose view has just become complete can follow without delay.
                     if was_complete || !self.has_complete_view() {
                         tokio::select! {
                             () = tokio::time::sleep(CHECK_INTERVAL) => {}
-                            () = self.feed.answered() => {}
+                            () = self.reader.answered() => {}
                             () = self.newer_view.notified() => self.poll_newer().await,
                         }
                     }
@@ -237,7 +241,7 @@
         let reads = source == NewsSource::Store;
         // A host that is not listed yet cannot know whether it is a reader, so it reads the hosts too.
         let is_listed = self.is_listed();
-        self.feed
+        self.reader
             .set_reading(reads, is_reader || (reads && !is_listed));
         let before = self.last.replace(source.clone());
         if before != source {
--- a/src/relay/news/store_log.rs
+++ b/src/relay/news/store_log.rs
@@ -1,7 +1,7 @@
 //! Log events about reading the store.
 
 use {
-    super::feed::StoreFeed,
+    super::feed::StoreReader,
     crate::{
         event,
         relay::link::StoreKind,
@@ -30,7 +30,7 @@
     }
 }
 
-impl StoreFeed {
+impl StoreReader {
     pub(super) fn log_failed_call(
         &self,
         kind: StoreKind,
--- a/src/relay/news/store_updates.rs
+++ b/src/relay/news/store_updates.rs
@@ -1,7 +1,7 @@
 //! Applies lists and changes read from the store to the local view of the cluster.
 
 use {
-    super::feed::StoreFeed,
+    super::feed::StoreReader,
     crate::{
         relay::{
             backend::BackendInfo,
@@ -13,7 +13,7 @@
     },
 };
 
-impl StoreFeed {
+impl StoreReader {
     // Detects a restore from a backup for stores that do not report an era: the newest list is older than the position
     // known before the call. Such a list is assigned to the next era.
     pub(super) fn detect_restore(
--- a/src/relay/news/take.rs
+++ b/src/relay/news/take.rs
@@ -69,7 +69,7 @@
 
     // Reads a large configuration from the store, or gets it from the host that announced it if the store does not answer.
     async fn fetch_config(&self, from: SocketAddr) -> bool {
-        let Err(failure) = self.feed.read_config().await else {
+        let Err(failure) = self.reader.read_config().await else {
             return true;
         };
         log::debug!(
