--- a/src/relay/host.rs
+++ b/src/relay/host.rs
@@ -10,12 +10,12 @@
         news::{
             self, entry,
             feed::StoreReader,
-            findings::FindingShare,
+            findings::FindingsSync,
             follow::NewsFollower,
-            permits::PermitLink,
+            permits::PermitService,
             rpc::{NewsClient, NewsHandlers},
-            settle::LedgerLink,
-            share::LoadShare,
+            settle::LedgerSync,
+            share::LoadReporting,
         },
         parts::{metric_labels::StoreCause, shared::RelayParts},
         request::{
@@ -121,7 +121,7 @@
         host.start_news_exchange(peers);
         critical_task::spawn_critical(
             "host entry",
-            entry::keep_entry(parts.clone(), store.clone()),
+            entry::maintain_entry(parts.clone(), store.clone()),
         );
         critical_task::spawn_critical("figures", figures::log_figures(parts.clone()));
         critical_task::spawn_critical("availability", check_availability(parts.clone()));
@@ -141,10 +141,10 @@
         let clock = self.parts.clock.clone();
         let links = Rc::new(NewsClient::new(metrics.clone(), clock.clone()));
         let follower = NewsFollower::start(self.parts.clone(), reader, links.clone());
-        LedgerLink::start(self.parts.clone(), follower.clone(), links.clone());
-        let permits = PermitLink::start(self.parts.clone(), links.clone());
-        let findings = FindingShare::start(self.parts.clone(), follower.clone(), links.clone());
-        let share = LoadShare::start(self.parts.clone(), follower, links);
+        LedgerSync::start(self.parts.clone(), follower.clone(), links.clone());
+        let permits = PermitService::start(self.parts.clone(), links.clone());
+        let findings = FindingsSync::start(self.parts.clone(), follower.clone(), links.clone());
+        let reporting = LoadReporting::start(self.parts.clone(), follower, links);
         let parts = self.parts.clone();
         let (charge_parts, sums_parts) = (parts.clone(), parts.clone());
         let trial_parts = parts.clone();
@@ -155,10 +155,10 @@
             }),
             charges: Box::new(move |account, units| charge_parts.answer_charge(account, units)),
             exchange: Box::new(move |theirs| sums_parts.answer_sums(&theirs)),
-            findings: Box::new(move |told, is_zone| findings.take_told(&told, is_zone)),
+            findings: Box::new(move |told, is_zone| findings.apply_findings(&told, is_zone)),
             trials: Box::new(move |digest| trial_parts.grant_trial(digest)),
-            follow: Box::new(move |held| news::tell_news(parts.clone(), held).boxed_local()),
-            reports: Box::new(move |reporter, loads, view| share.answer(reporter, loads, view)),
+            follow: Box::new(move |held| news::answer_follow(parts.clone(), held).boxed_local()),
+            reports: Box::new(move |reporter, loads, view| reporting.answer(reporter, loads, view)),
         };
         critical_task::spawn_critical(
             "host requests",
--- a/src/relay/news/entry.rs
+++ b/src/relay/news/entry.rs
@@ -30,7 +30,7 @@
 const WRITE_SPACING: Duration = Duration::from_millis(10);
 
 /// Keeps the host's entry in the store up to date until the host is about to stop.
-pub async fn keep_entry(parts: Rc<RelayParts>, store: Rc<StoreLink>) {
+pub async fn maintain_entry(parts: Rc<RelayParts>, store: Rc<StoreLink>) {
     if !parts.settings.first_start {
         wait_for_list(&parts).await;
     }
--- a/src/relay/news/findings.rs
+++ b/src/relay/news/findings.rs
@@ -55,7 +55,7 @@
 }
 
 /// Sends findings to other hosts and applies those that it receives.
-pub struct FindingShare {
+pub struct FindingsSync {
     parts: Rc<RelayParts>,
     follower: Rc<NewsFollower>,
     client: Rc<NewsClient>,
@@ -64,9 +64,9 @@
     sent_revisions: RefCell<BTreeMap<FindingsTarget, SharedRevisions>>,
 }
 
-impl FindingShare {
+impl FindingsSync {
     /// Applies findings from another host; `is_zone` is set if it sends them on behalf of its whole zone.
-    pub fn take_told(&self, findings: &SharedFindings, is_zone: bool) {
+    pub fn apply_findings(&self, findings: &SharedFindings, is_zone: bool) {
         // The sender of a zone's findings sends them to all zones itself. A host that is not the head has to forward them to
         // the head of its own zone.
         let is_head = self.follower.head().is_none();
@@ -84,20 +84,20 @@
         follower: Rc<NewsFollower>,
         client: Rc<NewsClient>,
     ) -> Rc<Self> {
-        let share = Rc::new(Self {
+        let sync = Rc::new(Self {
             parts,
             follower,
             client,
             targets: ZoneTargets::default(),
             sent_revisions: RefCell::default(),
         });
-        let requester = share.clone();
-        share.parts.crashes.set_trial_ask(Rc::new(move |digest| {
+        let requester = sync.clone();
+        sync.parts.crashes.set_trial_ask(Rc::new(move |digest| {
             requester.clone().request_trial(digest).boxed_local()
         }));
-        critical_task::spawn_critical("findings", share.clone().run());
-        critical_task::spawn_critical("initial findings", share.clone().fetch_initial());
-        share
+        critical_task::spawn_critical("findings", sync.clone().run());
+        critical_task::spawn_critical("initial findings", sync.clone().fetch_initial());
+        sync
     }
 
     // A starting host fetches the findings of some other hosts as soon as it knows the list of hosts: if it reads the store,
--- a/src/relay/news/permits.rs
+++ b/src/relay/news/permits.rs
@@ -31,23 +31,23 @@
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Client and server side of the permit requests between hosts.
-pub struct PermitLink {
+pub struct PermitService {
     parts: Rc<RelayParts>,
     client: Rc<NewsClient>,
 }
 
-impl PermitLink {
-    /// Starts the expiry of limits and lets the host's tasks request permits through this client.
+impl PermitService {
+    /// Starts the expiry of limits and lets the host's tasks request permits through it.
     pub fn start(parts: Rc<RelayParts>, client: Rc<NewsClient>) -> Rc<Self> {
-        let link = Rc::new(Self {
+        let permits = Rc::new(Self {
             parts: parts.clone(),
             client,
         });
-        critical_task::spawn_critical("server limit expiry", link.clone().run_expiry());
-        let requester = link.clone();
+        critical_task::spawn_critical("server limit expiry", permits.clone().run_expiry());
+        let requester = permits.clone();
         let call = move |zone, request| requester.clone().request(zone, request).boxed_local();
         parts.permits.set_call(Rc::new(call));
-        link
+        permits
     }
 
     /// Answers a host that considers this one the owner. If this host knows another owner, it forwards the request there, so
--- a/src/relay/news/settle.rs
+++ b/src/relay/news/settle.rs
@@ -25,25 +25,25 @@
 const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Exchanges the totals of this host's ledger with the ledgers of other zones.
-pub struct LedgerLink {
+pub struct LedgerSync {
     parts: Rc<RelayParts>,
     follower: Rc<NewsFollower>,
     client: Rc<NewsClient>,
     targets: ZoneTargets,
 }
 
-impl LedgerLink {
+impl LedgerSync {
     /// Starts the exchange, and sets up the calls to the ledger of this host's zone.
     pub fn start(parts: Rc<RelayParts>, follower: Rc<NewsFollower>, client: Rc<NewsClient>) {
-        let link = Rc::new(Self {
+        let sync = Rc::new(Self {
             parts,
             follower,
             client,
             targets: ZoneTargets::default(),
         });
-        link.parts.accounts.set_ask(link.clone().ledger_call());
-        critical_task::spawn_critical("ledger zones", link.clone().watch_zones());
-        critical_task::spawn_critical("account ledger", link.run());
+        sync.parts.accounts.set_ask(sync.clone().ledger_call());
+        critical_task::spawn_critical("ledger zones", sync.clone().watch_zones());
+        critical_task::spawn_critical("account ledger", sync.run());
     }
 
     // Updates the ledger's set of zones as soon as this host's view changes: the remainder of a limit depends on it.
@@ -59,12 +59,12 @@
         Rc::new(move |account, units, timeout| {
             let head = self.follower.head()?;
             let client = self.client.clone();
-            let link = self.clone();
+            let sync = self.clone();
             let call = async move {
                 let answer = client.charge(head.peers, account, units, timeout).await;
                 if let Err(error) = &answer {
                     log::debug!("cannot charge an account at host {}: {error}", head.name);
-                    link.skip_unknown_head(&head);
+                    sync.skip_unknown_head(&head);
                 }
                 answer.ok()
             };
--- a/src/relay/news/share.rs
+++ b/src/relay/news/share.rs
@@ -40,7 +40,7 @@
 }
 
 /// Reports this host's load, and collects the reports of others if this host is the head of its zone.
-pub struct LoadShare {
+pub struct LoadReporting {
     parts: Rc<RelayParts>,
     follower: Rc<NewsFollower>,
     client: Rc<NewsClient>,
@@ -48,22 +48,22 @@
     targets: ZoneTargets,
 }
 
-impl LoadShare {
+impl LoadReporting {
     /// Starts the reporting task.
     pub fn start(
         parts: Rc<RelayParts>,
         follower: Rc<NewsFollower>,
         client: Rc<NewsClient>,
     ) -> Rc<Self> {
-        let share = Rc::new(Self {
+        let reporting = Rc::new(Self {
             parts,
             follower,
             client,
             board: RefCell::default(),
             targets: ZoneTargets::default(),
         });
-        critical_task::spawn_critical("loads", share.clone().run());
-        share
+        critical_task::spawn_critical("loads", reporting.clone().run());
+        reporting
     }
 
     /// Answers a report of another host or zone.
--- a/src/relay/news/tell.rs
+++ b/src/relay/news/tell.rs
@@ -22,7 +22,7 @@
 const MAX_HOSTS_FOR_FULL_VIEW: usize = 30;
 
 /// Returns what is newer than what the requester has, as soon as there is something or its wait is over.
-pub async fn tell_news(parts: Rc<RelayParts>, held: HeldNews) -> ClusterNews {
+pub async fn answer_follow(parts: Rc<RelayParts>, held: HeldNews) -> ClusterNews {
     remember_informed_host(&parts, &held);
     let known = held.backends_position.max(held.hosts_position);
     parts.note_store_era(known.era, "host");
