--- a/src/relay/news/share.rs
+++ b/src/relay/news/share.rs
@@ -32,7 +32,7 @@
 const REPORT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// The interval at which each host of a zone reports, by the number of hosts in the zone.
-pub fn report_period(hosts: usize) -> Duration {
+pub fn report_interval(hosts: usize) -> Duration {
     let factor = hosts as f64 / FULL_RATE_HOSTS as f64;
     REPORT_INTERVAL
         .mul_f64(factor.max(1.0))
@@ -122,7 +122,7 @@
     fn interval(&self) -> Duration {
         let own = &self.parts.settings.zone;
         let cluster = self.parts.cluster.borrow();
-        report_period(cluster.hosts().filter(|entry| entry.zone == *own).count())
+        report_interval(cluster.hosts().filter(|entry| entry.zone == *own).count())
     }
 
     // How current this host's view of the store is.
--- a/tests/relay_loads.rs
+++ b/tests/relay_loads.rs
@@ -101,10 +101,10 @@
 
 #[test]
 fn hosts_of_a_large_zone_report_less_often_but_before_they_count_no_more() {
-    assert_eq!(relay::report_period(1), millis(300));
-    assert_eq!(relay::report_period(30), millis(300));
-    assert_eq!(relay::report_period(45), millis(450));
-    assert_eq!(relay::report_period(1_000), millis(600));
+    assert_eq!(relay::report_interval(1), millis(300));
+    assert_eq!(relay::report_interval(30), millis(300));
+    assert_eq!(relay::report_interval(45), millis(450));
+    assert_eq!(relay::report_interval(1_000), millis(600));
 }
 
 #[test]
