--- a/src/relay/news/crash_message.rs
+++ b/src/relay/news/crash_message.rs
@@ -67,7 +67,7 @@
     ((digest.0 >> 64) as u64, digest.0 as u64)
 }
 
-/// Joins the two split_digest of a digest.
+/// Joins the two halves of a digest.
 pub fn join_digest(high: u64, low: u64) -> RequestDigest {
     RequestDigest(u128::from(high) << 64 | u128::from(low))
 }
--- a/src/relay/news/entry.rs
+++ b/src/relay/news/entry.rs
@@ -14,19 +14,19 @@
 /// Delay before a failed write of the host's entry is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(700);
 
-/// How long a restarted host waits for the list of hosts before it writes its entry. The list usually still contains the
-/// entry, which saves all three calls per host when a fleet of hundreds of hosts restarts.
+/// How long a restarted host waits for the list of hosts before it writes its entry. The list usually still contains
+/// the entry, which saves all three calls per host when a fleet of hundreds of hosts restarts.
 const HOST_LIST_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How often the host checks whether it is still listed.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long the entry has to be missing before it is written. The list is up to two seconds old, and may still contain an
-/// entry that an earlier run of the host removed when it stopped.
+/// How long the entry has to be missing before it is written. The list is up to two seconds old, and may still contain
+/// an entry that an earlier run of the host removed when it stopped.
 const MISSING_TIME: Duration = Duration::from_secs(3);
 
-/// Writes of missing entries are spread over this time per listed host, since a store that was restored from a backup may
-/// have lost the entries of all hosts.
+/// Writes of missing entries are spread over this time per listed host, since a store that was restored from a backup
+/// may have lost the entries of all hosts.
 const WRITE_SPACING: Duration = Duration::from_millis(10);
 
 /// Keeps the host's entry in the store up to date until the host is about to stop.
--- a/src/relay/news/feed.rs
+++ b/src/relay/news/feed.rs
@@ -235,7 +235,8 @@
 
     fn is_reading(&self, kind: StoreKind) -> bool {
         match kind {
-            // Nothing urgent depends on the hosts; an unresponsive store is retried for the other kinds only.
+            // Nothing urgent depends on the hosts: once they are known, an unresponsive store is retried for the other
+            // kinds only.
             StoreKind::Hosts => {
                 self.reading_hosts.get()
                     && (!self.known_position(kind).is_known() || !self.is_lost())
@@ -304,8 +305,8 @@
         Ok(())
     }
 
-    // A long watch that was in flight when the store stopped answering never completes. It is abandoned, and sent again,
-    // once another call succeeds.
+    // A long watch that was in flight when the store stopped answering never completes. It is abandoned, and sent
+    // again, once another call succeeds.
     async fn cancel_after_outage(
         &self,
         watch: StoreCall<StoreChanges>,
@@ -388,8 +389,8 @@
     }
 }
 
-// A stale configuration would be in force until a watch returned the newer one. After "history gone", a stale list would
-// only lead to the same failure again.
+// A stale configuration would be in force until a watch returned the newer one. After "history gone", a stale list
+// would only lead to the same failure again.
 fn list_age(kind: StoreKind, history_gone: bool) -> ListFreshness {
     match kind {
         StoreKind::Backends | StoreKind::Hosts if !history_gone => ListFreshness::MayLag,
--- a/src/relay/news/findings.rs
+++ b/src/relay/news/findings.rs
@@ -40,9 +40,9 @@
 /// Timeout of that fetch; until then the host is not ready, and callers wait for it.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Number of hosts that are asked in turn whether a request may be tried, since entries of lost hosts remain in the list.
-/// During a network partition a host on each side may allow a trial, which stays within the three sends of such a request
-/// that operators allow.
+/// Number of hosts that are asked in turn whether a request may be tried, since entries of lost hosts remain in the
+/// list. During a network partition a host on each side may allow a trial, which stays within the three sends of such a
+/// request that operators allow.
 const MAX_TRIAL_HOSTS: usize = 3;
 
 /// A destination of findings.
@@ -67,8 +67,8 @@
 impl FindingsSync {
     /// Applies findings from another host; `is_zone` is set if it sends them on behalf of its whole zone.
     pub fn apply_findings(&self, findings: &SharedFindings, is_zone: bool) {
-        // The sender of a zone's findings sends them to all zones itself. A host that is not the head has to forward them to
-        // the head of its own zone.
+        // The sender of a zone's findings sends them to all zones itself. A host that is not the head has to forward
+        // them to the head of its own zone.
         let is_head = self.follower.head().is_none();
         let source = match is_zone && is_head {
             true => MarkSource::Told,
@@ -100,8 +100,8 @@
         sync
     }
 
-    // A starting host fetches the findings of some other hosts as soon as it knows the list of hosts: if it reads the store,
-    // it polls no other host and would not receive them.
+    // A starting host fetches the findings of some other hosts as soon as it knows the list of hosts: if it reads the
+    // store, it polls no other host and would not receive them.
     async fn fetch_initial(self: Rc<Self>) {
         while !self.parts.cluster.borrow().hosts_position().is_known() {
             // An update between the check and the wait is noticed at the next check.
@@ -154,8 +154,8 @@
     // Returns whether all targets have received all findings.
     async fn send_to_all(&self) -> bool {
         let targets = self.current_targets();
-        // Findings sent to a previous head may have been lost with it, so they are sent again to a new one. The state of
-        // zones is kept.
+        // Findings sent to a previous head may have been lost with it, so they are sent again to a new one. The state
+        // of zones is kept.
         let is_kept = |target: &FindingsTarget| match target {
             FindingsTarget::Head(_) => targets.iter().any(|(known, _)| known == target),
             FindingsTarget::Zone(_) => true,
--- a/src/relay/news/follow.rs
+++ b/src/relay/news/follow.rs
@@ -36,8 +36,8 @@
 /// Response timeout in addition to the hold: hosts are a millisecond apart, but some run slowly for a while.
 pub(super) const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Hold and response timeout of a host without a complete view: after all hosts were killed, the first one polled may not
-/// be back yet, and the next one is only polled after the timeout.
+/// Hold and response timeout of a host without a complete view: after all hosts were killed, the first one polled may
+/// not be back yet, and the next one is only polled after the timeout.
 const START_POLL_HOLD: Duration = Duration::from_millis(250);
 const START_RESPONSE_TIMEOUT: Duration = Duration::from_millis(150);
 
@@ -48,8 +48,8 @@
 /// Number of heads of other zones polled at a time while the store does not answer.
 const POLLED_HEADS: usize = 2;
 
-/// How much newer than this host's view a reported view has to be for its reporter to be polled; smaller differences are
-/// the usual delay of reports.
+/// How much newer than this host's view a reported view has to be for its reporter to be polled; smaller differences
+/// are the usual delay of reports.
 const MIN_VIEW_LEAD: Duration = Duration::from_millis(500);
 
 // The reporter with the newest view so far.
@@ -119,7 +119,7 @@
         self.choice.borrow().head(self.parts.now())
     }
 
-    /// Records that a host, usually the head of the zone, accepted no report.
+    /// Records that the head of the zone did not answer a report.
     pub fn record_unreported(&self, name: &FastStr) {
         let now = self.parts.now();
         self.choice.borrow_mut().note_unreported(name, now);
@@ -346,8 +346,8 @@
         }
     }
 
-    // Some heads of other zones, or the seeds where none is known; and the last host with a complete view that polled this
-    // one while its own view was incomplete.
+    // Some heads of other zones, or the seeds where none is known; and the last host with a complete view that polled
+    // this one while its own view was incomplete.
     fn others_to_poll(&self) -> Vec<SocketAddr> {
         let heads = self.choice.borrow().other_heads(self.parts.now());
         let mut addresses: Vec<SocketAddr> = heads.into_iter().map(|entry| entry.peers).collect();
--- a/src/relay/news/message.rs
+++ b/src/relay/news/message.rs
@@ -28,7 +28,8 @@
 /// Number of milliseconds that stands for "never" or "unknown".
 const NO_TIME_MS: u32 = u32::MAX;
 
-/// Added to the age of a proof before it is truncated to milliseconds, since encoding must never make a proof look newer.
+/// Added to the age of a proof before it is truncated to milliseconds, since encoding must never make a proof look
+/// newer.
 const PROOF_AGE_MARGIN: Duration = Duration::from_millis(1);
 
 /// What the requester already has, as versions and positions; 0 for what it needs in full.
@@ -95,8 +96,8 @@
     pub hosts: KindNews,
     /// Whether the store does not answer the sender, or the host that the sender follows.
     pub is_lost: bool,
-    /// Hosts that the requester may follow, in order of preference. Only sent to a host that starts in a large fleet, and
-    /// then in entry of everything else.
+    /// Hosts that the requester may follow, in order of preference. Only sent to a host that starts in a large fleet,
+    /// and then in place of everything else.
     pub guides: Vec<HostEntry>,
     /// The crash records of the sender that the requester lacks.
     pub crashes: CrashNews,
@@ -105,18 +106,18 @@
 }
 
 impl ClusterNews {
-    /// The last time at which the sender's view was known to be current, on the clock of a requester that sent its request
-    /// at `sent_at`; none if the sender has no view.
+    /// The last time at which the sender's view was known to be current, on the clock of a requester that sent its
+    /// request at `sent_at`; none if the sender has no view.
     ///
-    /// This is a lower bound. If the age were counted from the arrival of the response, each hop would make the view look
-    /// newer by the latency of the response, and hosts that follow each other while the store is unavailable would consider
-    /// an old view current forever.
+    /// This is a lower bound. If the age were counted from the arrival of the response, each hop would make the view
+    /// look newer by the latency of the response, and hosts that follow each other while the store is unavailable would
+    /// consider an old view current forever.
     pub fn confirmed(&self, sent_at: Duration) -> Option<PastTime> {
         Some(PastTime::at(sent_at + self.held).before(self.age?))
     }
 
-    /// When the sender's configuration was proved to be the newest, on the clock of a requester that sent its request at
-    /// `sent_at`.
+    /// When the sender's configuration was proved to be the newest, on the clock of a requester that sent its request
+    /// at `sent_at`.
     pub fn proved(&self, sent_at: Duration) -> Option<PastTime> {
         Some(PastTime::at(sent_at + self.held).before(self.proof?))
     }
--- a/src/relay/news/news.capnp
+++ b/src/relay/news/news.capnp
@@ -3,8 +3,8 @@
 @0xd41f6c0e5a7b9823;
 
 struct HeldNews {
-  # What the requester already has; 0 for what it needs in full. Revisions are encoded positions: the era of the store in the
-  # upper 24 bits, the revision in the lower 40.
+  # What the requester already has; 0 for what it needs in full. Revisions are encoded positions: the era of the store
+  # in the upper 24 bits, the revision in the lower 40.
   configVersion @0 :UInt64;
   backendsRevision @1 :UInt64;
   hostsRevision @2 :UInt64;
@@ -12,7 +12,8 @@
   wantsConfig @3 :Bool;
   # How long the request may be held until there is something newer.
   waitMs @4 :UInt32;
-  # The requester has just started and knows no hosts. In a large fleet the response then only contains the hosts to follow.
+  # The requester has just started and knows no hosts. In a large fleet the response then only contains the hosts to
+  # follow.
   isStarting @5 :Bool;
   # The requester's availability zone.
   zone @6 :Text;
@@ -81,8 +82,8 @@
   isLost @7 :Bool;
   # How long the request was held. Ages count from the end of that time, not from the arrival of the response.
   heldMs @8 :UInt32;
-  # How long before that the sender's configuration was proved to be the newest; the largest number if unknown. Account keys
-  # are accepted for a bounded time after the proof.
+  # How long before that the sender's configuration was proved to be the newest; the largest number if unknown. Account
+  # keys are accepted for a bounded time after the proof.
   proofMs @9 :UInt32;
   # The sender's crash records that the requester lacks, and the id and revision of its cache of them.
   crashes @10 :List(CrashMark);
@@ -162,9 +163,9 @@
 
 interface NewsPeer {
   follow @0 (held :HeldNews) -> (news :ClusterNews);
-  # Exchanges the load of the reporter's requests for the load of all others' requests. A whole zone reports through one of
-  # its hosts and receives the load of the other zone's hosts. A reporter also sends the age, version and position of its
-  # view, so that a host that the store rejects knows which host to poll.
+  # Exchanges the load of the reporter's requests for the load of all others' requests. A whole zone reports through one
+  # of its hosts and receives the load of the other zone's hosts. A reporter also sends the age, version and position of
+  # its view, so that a host that the store rejects knows which host to poll.
   share @1 (reporter :Text, isZone :Bool, report :LoadReport, ageMs :UInt32,
     configVersion :UInt64, backendsRevision :UInt64) -> (others :LoadReport);
   # Admits a request of an account, or returns the retry delay for its caller.
@@ -175,9 +176,9 @@
   tellFindings @4 (marks :List(CrashMark), isZone :Bool, limits :List(LimitUpdate)) -> ();
   # Whether a request that is considered fatal to servers may be tried; allowed once across all hosts.
   allowTrial @5 (high :UInt64, low :UInt64) -> (isAllowed :Bool);
-  # Requests permits at a rate-limited server from the host that allocates them for all hosts; returns the permits, or when
-  # one is likely. The rank is the urgency of the request, 0 is the most urgent. With no permits wanted, the call only passes
-  # on what the server reported. A forwarded request is not forwarded again.
+  # Requests permits at a rate-limited server from the host that allocates them for all hosts; returns the permits, or
+  # when one is likely. The rank is the urgency of the request, 0 is the most urgent. With no permits wanted, the call
+  # only passes on what the server reported. A forwarded request is not forwarded again.
   deal @6 (server :UInt32, wanted :UInt16, rank :UInt8, isPassedOn :Bool, saying :LimitSaying)
     -> (permits :UInt16, waitMs :UInt32, saying :LimitSaying);
 }
--- a/src/relay/news/permits.rs
+++ b/src/relay/news/permits.rs
@@ -1,5 +1,5 @@
-//! Requests permits for a rate-limited server from the host that allocates them, the owner. A host that reaches no owner uses
-//! only a part of its own share.
+//! Requests permits for a rate-limited server from the host that allocates them, the owner. A host that reaches no
+//! owner uses only a part of its own share.
 
 use {
     super::rpc::NewsClient,
@@ -50,8 +50,8 @@
         permits
     }
 
-    /// Answers a host that considers this one the owner. If this host knows another owner, it forwards the request there, so
-    /// that a single host allocates the permits although the requester cannot reach it.
+    /// Answers a host that considers this one the owner. If this host knows another owner, it forwards the request
+    /// there, so that a single host allocates the permits although the requester cannot reach it.
     pub async fn answer(self: Rc<Self>, request: PermitRequest, is_forwarded: bool) -> PermitGrant {
         let zone = self.parts.settings.zone.clone();
         let owner = self.parts.owner(&zone, request.server);
--- a/src/relay/news/rpc.rs
+++ b/src/relay/news/rpc.rs
@@ -26,8 +26,7 @@
     tokio::net::TcpListener,
 };
 
-/// Longest retry delay in a ledger's response, in milliseconds; `u32::MAX` is reserved for
-/// "unknown".
+/// Longest retry delay in a ledger's response, in milliseconds; `u32::MAX` is reserved for "unknown".
 const MAX_WAIT_MS: u32 = 3_600_000;
 
 /// Answers a host that follows this one, once there is something newer or the wait is over.
--- a/src/relay/news/settle.rs
+++ b/src/relay/news/settle.rs
@@ -95,8 +95,8 @@
         }
     }
 
-    // One host of each other zone; and the head of this host's zone if that is another host, since hosts may disagree on
-    // which one is the head.
+    // One host of each other zone; and the head of this host's zone if that is another host, since hosts may disagree
+    // on which one is the head.
     fn targets(&self) -> Vec<HostEntry> {
         let own_zone = &self.parts.settings.zone;
         let now = self.parts.now();
--- a/src/relay/news/share.rs
+++ b/src/relay/news/share.rs
@@ -14,12 +14,12 @@
     std::{cell::RefCell, rc::Rc, time::Duration},
 };
 
-/// How often a host reports. Requests run for some seconds, so the others' view of them is mostly accurate; more frequent
-/// reports cost small hosts CPU time.
+/// How often a host reports. Requests run for some seconds, so the others' view of them is mostly accurate; more
+/// frequent reports cost small hosts CPU time.
 const REPORT_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Largest zone whose hosts report at that interval. In larger zones each host reports less often, so that the load on the
-/// zone's head, which sums up the reports, stays the same.
+/// Largest zone whose hosts report at that interval. In larger zones each host reports less often, so that the load on
+/// the zone's head, which sums up the reports, stays the same.
 const FULL_RATE_HOSTS: usize = 30;
 
 /// Longest interval between two reports: if one is lost, the previous one must not expire before the next.
--- a/src/relay/news/start.rs
+++ b/src/relay/news/start.rs
@@ -11,19 +11,19 @@
 /// complete view answer within milliseconds; if none does, this host is the first to read.
 const SEED_START_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// The same timeout for other hosts, in milliseconds. After all hosts were killed, callers wait for each of them to start;
-/// but each host that reads the store itself costs three calls. The range spreads these calls over time.
+/// The same timeout for other hosts, in milliseconds. After all hosts were killed, callers wait for each of them to
+/// start; but each host that reads the store itself costs three calls. The range spreads these calls over time.
 const START_TIMEOUT_MS: Range<u64> = 150..350;
 
-/// The same timeout once a seed has answered: it will have a complete view soon, and the hosts of a fleet that starts at
-/// once should not all read the store.
+/// The same timeout once a seed has answered: it will have a complete view soon, and the hosts of a fleet that starts
+/// at once should not all read the store.
 const SEED_ANSWERED_TIMEOUT_MS: Range<u64> = 700..1_400;
 
 /// The same timeout at the first start of a whole fleet: its hosts register in the store first, and callers come later.
 const FIRST_START_TIMEOUT_MS: Range<u64> = 3_000..4_500;
 
-/// How long a seed may hold the request until it has a complete view, and its response timeout in addition to that. A seed
-/// that is still powered off does not respond at all, and connecting to it would hang for a second.
+/// How long a seed may hold the request until it has a complete view, and its response timeout in addition to that. A
+/// seed that is still powered off does not respond at all, and connecting to it would hang for a second.
 const SEED_HOLD: Duration = Duration::from_millis(150);
 const SEED_RESPONSE_TIMEOUT: Duration = Duration::from_millis(100);
 
@@ -31,8 +31,8 @@
 const SEEDS_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 impl NewsFollower {
-    // Polls the seeds while no other host is known. In a large fleet they return the hosts to follow, in a small one their
-    // whole view.
+    // Polls the seeds while no other host is known. In a large fleet they return the hosts to follow, in a small one
+    // their whole view.
     pub(super) async fn poll_seeds(&self) {
         let settings = &self.parts.settings;
         let mut seeds = settings.seeds.clone();
--- a/src/relay/news/take.rs
+++ b/src/relay/news/take.rs
@@ -67,7 +67,8 @@
         self.parts.note_reread();
     }
 
-    // Reads a large configuration from the store, or gets it from the host that announced it if the store does not answer.
+    // Reads a large configuration from the store, or gets it from the host that announced it if the store does not
+    // answer.
     async fn fetch_config(&self, from: SocketAddr) -> bool {
         let Err(failure) = self.reader.read_config().await else {
             return true;
--- a/src/relay/news/targets.rs
+++ b/src/relay/news/targets.rs
@@ -6,8 +6,8 @@
     std::{cell::RefCell, collections::BTreeMap, time::Duration},
 };
 
-/// How long a host that did not answer is skipped. When it was tried again each time the next host had answered, every other
-/// exchange with a zone failed by timeout while the zone's first host was gone.
+/// How long a host that did not answer is skipped. When it was tried again each time the next host had answered, every
+/// other exchange with a zone failed by timeout while the zone's first host was gone.
 const SKIP_TIME: Duration = Duration::from_secs(2);
 
 /// Selects one host of each zone: the first in the order of candidates for the zone's head that has not just failed to
@@ -29,7 +29,8 @@
         self.select(cluster, now, |entry| entry.zone != own_zone)
     }
 
-    /// The selected host of each zone, never this host itself: hosts may disagree on which one is the head of their zone.
+    /// The selected host of each zone, never this host itself: hosts may disagree on which one is the head of their
+    /// zone.
     pub fn all_zones(
         &self,
         cluster: &ClusterState,
--- a/src/relay/news/tell.rs
+++ b/src/relay/news/tell.rs
@@ -9,16 +9,17 @@
 /// Longest time that a request is held until there is something newer.
 const MAX_HOLD: Duration = Duration::from_secs(2);
 
-/// Largest number of routes of a configuration that is sent unasked: some 300 bytes each, to each of some thirty followers.
-/// Larger configurations would saturate the network link of a small host; followers read them from the store.
+/// Largest number of routes of a configuration that is sent without being requested: some 300 bytes each, to each of
+/// some thirty followers. Larger configurations would saturate the network link of a small host; followers read them
+/// from the store.
 const MAX_SENT_ROUTES: usize = 64;
 
-/// The same for client accounts, at some 80 bytes per key.
+/// Largest number of client accounts of such a configuration, at some 80 bytes per key.
 const MAX_SENT_ACCOUNTS: usize = 64;
 
 /// Largest fleet in which a starting host gets the whole view from any host that it polls. In a larger fleet each seed
-/// would be polled by a third of the hosts, for some 100 kB each. Seeds may have a slow link, so there they only return the
-/// hosts that the requester should follow.
+/// would be polled by a third of the hosts, for some 100 kB each. Seeds may have a slow link, so there they only return
+/// the hosts that the requester should follow.
 const MAX_HOSTS_FOR_FULL_VIEW: usize = 30;
 
 /// Returns what is newer than what the requester has, as soon as there is something or its wait is over.
@@ -54,9 +55,9 @@
     }
 }
 
-// Remembers a requester whose view is complete while this host's is not, so that it can be polled in turn. Hosts that start
-// while the store does not answer know no other host, and their seeds may have just started too; but hosts that kept
-// running still poll them if they are heads of their zones.
+// Remembers a requester whose view is complete while this host's is not, so that it can be polled in turn. Hosts that
+// start while the store does not answer know no other host, and their seeds may have just started too; but hosts that
+// kept running still poll them if they are heads of their zones.
 fn remember_informed_host(parts: &RelayParts, held: &HeldNews) {
     let has_complete_view = parts.cluster.borrow().age(parts.now()).is_some();
     if !has_complete_view && held.has_complete_view() {
--- a/tests/relay_news.rs
+++ b/tests/relay_news.rs
@@ -201,8 +201,8 @@
         }
     }
     assert!(probed.len() > 15, "{} of 29 in 57 turns", probed.len());
-    // After a successful probe the host keeps reading, so that it gets the next change at once, until the store answers the
-    // head again. It resumes reading at once when the view of the others is out of date.
+    // After a successful probe the host keeps reading, so that it gets the next change at once, until the store answers
+    // the head again. It resumes reading at once when the view of the others is out of date.
     let (mut choice, at) = served.unwrap();
     for later in [300, 2_000, 5_000] {
         let next = choice.choose(Some(millis(10)), true, millis(at + later));
