--- a/src/relay/news/findings.rs
+++ b/src/relay/news/findings.rs
@@ -127,7 +127,7 @@
     }
 
     async fn fetch_from(&self, entry: HostEntry) {
-        let held = self.follower.held(entry.peers, Duration::ZERO, false);
+        let held = self.follower.held_news(entry.peers, Duration::ZERO, false);
         match self.client.follow(entry.peers, held, FETCH_TIMEOUT).await {
             Ok(news) => {
                 self.parts.take_crash_news(&news.crashes, entry.peers);
--- a/src/relay/news/follow.rs
+++ b/src/relay/news/follow.rs
@@ -68,7 +68,7 @@
     pub(super) reader: Rc<StoreReader>,
     pub(super) client: Rc<NewsClient>,
     pub(super) choice: RefCell<SourceChoice>,
-    last: RefCell<NewsSource>,
+    last_source: RefCell<NewsSource>,
     // The hosts to follow that a seed suggested, used until the list of hosts is known.
     pub(super) guides: RefCell<Vec<HostEntry>>,
     // Position and length of the host list that `choice` was computed from, and the number of guides.
@@ -102,7 +102,7 @@
             reader,
             client,
             choice: RefCell::new(SourceChoice::new(rules)),
-            last: RefCell::new(NewsSource::Seeds),
+            last_source: RefCell::new(NewsSource::Seeds),
             guides: RefCell::default(),
             choice_inputs: Cell::default(),
             newest_report: RefCell::default(),
@@ -243,7 +243,7 @@
         let is_listed = self.is_listed();
         self.reader
             .set_reading(reads, is_reader || (reads && !is_listed));
-        let before = self.last.replace(source.clone());
+        let before = self.last_source.replace(source.clone());
         if before != source {
             log_source_change(&source, age);
         }
@@ -269,7 +269,12 @@
     }
 
     // What this host already has, for a request to the host at an address.
-    pub(super) fn held(&self, address: SocketAddr, wait: Duration, wants_config: bool) -> HeldNews {
+    pub(super) fn held_news(
+        &self,
+        address: SocketAddr,
+        wait: Duration,
+        wants_config: bool,
+    ) -> HeldNews {
         let cluster = self.parts.cluster.borrow();
         HeldNews {
             config_version: cluster.config_version(),
@@ -295,7 +300,7 @@
         let hold = hold.min(left / 2);
         let timeout = timeout.min(left - hold);
         // A host without a complete view requests the configuration too, since the store would not return it sooner.
-        let held = self.held(entry.peers, hold, !self.has_complete_view());
+        let held = self.held_news(entry.peers, hold, !self.has_complete_view());
         let sent_at = self.parts.now();
         let answer = self.client.follow(entry.peers, held, timeout).await;
         let now = self.parts.now();
@@ -338,7 +343,7 @@
     }
 
     async fn poll(&self, address: SocketAddr) {
-        let held = self.held(address, Duration::ZERO, true);
+        let held = self.held_news(address, Duration::ZERO, true);
         let sent_at = self.parts.now();
         match self.client.follow(address, held, RESPONSE_TIMEOUT).await {
             Ok(news) => self.apply(news, address, sent_at).await,
@@ -383,7 +388,7 @@
     let name = match source {
         NewsSource::Store => "the store",
         NewsSource::Host(entry) => entry.name.as_str(),
-        NewsSource::Seeds => "the configured seed hosts",
+        NewsSource::Seeds => "the hosts that the settings name",
     };
     let age = age.map_or("unknown".to_owned(), |age| age.as_millis().to_string());
     event::emit(&event::NEWS_SOURCE, &[("source", &name), ("age_ms", &age)]);
--- a/src/relay/news/mod.rs
+++ b/src/relay/news/mod.rs
@@ -4,6 +4,7 @@
 //! passes on the changes. Hosts also exchange the load of their requests, the use of client accounts, permits at
 //! rate-limited servers, and findings such as requests that crash their servers.
 
+pub(crate) mod answer;
 mod crash_message;
 pub(crate) mod entry;
 pub(crate) mod feed;
@@ -21,6 +22,5 @@
 mod store_updates;
 mod take;
 mod targets;
-pub(crate) mod tell;
 
-pub use self::{feed::*, follow::*, message::*, rpc::*, share::*, tell::*};
+pub use self::{answer::*, feed::*, follow::*, message::*, rpc::*, share::*};
--- a/src/relay/news/start.rs
+++ b/src/relay/news/start.rs
@@ -42,7 +42,7 @@
             let left = self.choice.borrow().patience_left(self.parts.now());
             let held = HeldNews {
                 is_starting: true,
-                ..self.held(address, SEED_HOLD.min(left / 2), true)
+                ..self.held_news(address, SEED_HOLD.min(left / 2), true)
             };
             let timeout = SEED_RESPONSE_TIMEOUT.min(left / 2);
             let sent_at = self.parts.now();
--- a/src/relay/news/take.rs
+++ b/src/relay/news/take.rs
@@ -77,7 +77,7 @@
             "cannot read the configuration from the store: {failure}; \
              requesting it from the host at {from}"
         );
-        let held = self.held(from, Duration::ZERO, true);
+        let held = self.held_news(from, Duration::ZERO, true);
         match self.client.follow(from, held, RESPONSE_TIMEOUT).await {
             Ok(ClusterNews {
                 config: Some(config),
