--- a/src/relay/request/answer.rs
+++ b/src/relay/request/answer.rs
@@ -86,13 +86,13 @@
     matches!(status, 408 | 421 | 429 | 503)
 }
 
-struct KeptBody<K> {
+struct GuardedBody<K> {
     body: IngressBody,
     // Dropped with the body: at its end, or when the caller is gone.
     _kept: K,
 }
 
-impl<K: Unpin> http_body::Body for KeptBody<K> {
+impl<K: Unpin> http_body::Body for GuardedBody<K> {
     type Data = Bytes;
     type Error = BrokenBody;
 
@@ -114,5 +114,5 @@
 
 /// A body that keeps something for as long as it is being sent.
 pub fn kept_with<K: Unpin + 'static>(body: IngressBody, kept: K) -> IngressBody {
-    Box::pin(KeptBody { body, _kept: kept })
+    Box::pin(GuardedBody { body, _kept: kept })
 }
--- a/src/relay/request/call.rs
+++ b/src/relay/request/client_request.rs
@@ -1,4 +1,4 @@
-//! A caller's request, read whole, and the requests to backend servers that are made of it.
+//! A client's request with its buffered body, and the requests to backend servers that are built from it.
 
 use {
     crate::{
@@ -20,55 +20,55 @@
     std::{cell::OnceCell, rc::Rc, time::Duration},
 };
 
-/// A caller's request.
+/// A client's request.
 #[derive(Debug)]
-pub struct RelayCall {
-    /// Its method.
+pub struct ClientRequest {
+    /// HTTP method.
     pub method: Method,
-    /// Its path and query, as they came.
+    /// Path and query as received.
     pub target: String,
-    /// Its headers, less what speaks of the connection and what only this host may set.
+    /// Headers, without hop-by-hop headers and those that only this host may set.
     pub headers: HeaderMap,
-    /// Its whole body.
+    /// Full body.
     pub body: Bytes,
-    /// What it says of itself.
+    /// What its headers say about it.
     pub marks: RequestMetadata,
-    /// Its route.
+    /// Route that it matched.
     pub route: Rc<RelayRoute>,
-    /// The client account that it is for, if a key in force was shown.
+    /// Client account, if the request carries a valid API key.
     pub account: Option<Rc<ClientAccount>>,
-    /// Version of the configuration that the route is of.
+    /// Version of the configuration that the route is from.
     pub config_version: u64,
-    /// When its head had arrived, on the host's clock.
-    pub arrived: Duration,
-    /// How long its caller had waited before, with an earlier try.
-    pub waited: Duration,
-    /// When its caller has to have an answer, on the host's clock.
-    pub until: Duration,
-    /// For how long the host had been suspended when the call was let in.
-    pub suspended: Duration,
-    /// Servers ended under it before.
-    pub is_suspected: bool,
-    /// It is held to end its servers, and is tried once.
-    pub is_on_trial: bool,
+    /// When its head was received, on the host's clock.
+    pub received_at: Duration,
+    /// How long its client waited before, in earlier tries.
+    pub prior_wait: Duration,
+    /// Deadline of the response, on the host's clock.
+    pub deadline: Duration,
+    /// Total time for which the host had been suspended when the request was read.
+    pub suspended_before: Duration,
+    /// Whether servers ended while running this request before.
+    pub is_crash_suspect: bool,
+    /// Whether it is known to crash its servers and is sent once, as a trial.
+    pub is_crash_trial: bool,
     clock: HostClock,
     digest: OnceCell<RequestDigest>,
 }
 
-impl RelayCall {
-    /// How urgent it is, 0 the most: its account's priority goes before its route's.
+impl ClientRequest {
+    /// Priority, 0 being the most urgent. The account's priority overrides the route's.
     pub fn priority(&self) -> u8 {
         let account = self.account.as_ref().and_then(|account| account.priority);
         account.unwrap_or(self.route.priority)
     }
 
-    /// The name of its account, empty where there is none.
+    /// Name of its account, empty if it has none.
     pub fn account_name(&self) -> &str {
         self.account.as_ref().map_or("", |account| &account.name)
     }
 
-    /// The same call, of this client account.
-    pub fn of_account(self, account: Option<Rc<ClientAccount>>) -> Self {
+    /// Sets the client account.
+    pub fn with_account(self, account: Option<Rc<ClientAccount>>) -> Self {
         let digest = OnceCell::new();
         Self {
             account,
@@ -77,46 +77,46 @@
         }
     }
 
-    /// The same call, of a caller that had waited for so long.
-    pub fn with_waited(self, waited: Duration) -> Self {
-        Self { waited, ..self }
+    /// Sets how long the client waited before.
+    pub fn with_prior_wait(self, prior_wait: Duration) -> Self {
+        Self { prior_wait, ..self }
     }
 
-    /// The same call, under which servers ended before.
-    pub fn suspected(self) -> Self {
+    /// Marks the request as one under which servers ended before.
+    pub fn as_crash_suspect(self) -> Self {
         Self {
-            is_suspected: true,
+            is_crash_suspect: true,
             ..self
         }
     }
 
-    /// The same call, to be sent once.
-    pub fn on_trial(self) -> Self {
+    /// Marks the request as a trial, which is sent once.
+    pub fn as_crash_trial(self) -> Self {
         Self {
-            is_on_trial: true,
+            is_crash_trial: true,
             ..self
         }
     }
 
-    /// Which request it is, whatever its id; worked out when it is first asked for.
+    /// Digest of the account, target and body, which recognizes the request whatever its id. Computed on first use.
     pub fn digest(&self) -> RequestDigest {
         *self
             .digest
             .get_or_init(|| RequestDigest::of(self.account_name(), &self.target, &self.body))
     }
 
-    /// What is left of its time.
+    /// Time left until the deadline.
     pub fn time_left(&self) -> Duration {
-        self.until.saturating_sub(self.clock.now())
+        self.deadline.saturating_sub(self.clock.now())
     }
 
-    /// Time since its arrival.
+    /// Time since it was received.
     pub fn age(&self) -> Duration {
-        self.clock.now().saturating_sub(self.arrived)
+        self.clock.now().saturating_sub(self.received_at)
     }
 
-    /// The request to a backend server; `prepare` adds what the kind of backend server needs.
-    pub fn request_to(
+    /// Builds the request to a backend server. `prepare` adds the headers that its kind needs.
+    pub fn backend_request(
         &self,
         backend: &BackendInfo,
         dialect: &CallDialect,
@@ -124,7 +124,10 @@
     ) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
-        *request.uri_mut() = self.target.parse().expect("the target of a request read");
+        *request.uri_mut() = self
+            .target
+            .parse()
+            .expect("the target was parsed when the request was read");
         *request.headers_mut() = self.headers.clone();
         let address = RequestTarget {
             backend: &backend.id,
@@ -137,35 +140,35 @@
     }
 }
 
-/// Reads a request's body within the limits and puts the call together.
-pub async fn read_call(
-    parts: Parts,
+/// Reads a request's body within the limits.
+pub async fn read_request(
+    head: Parts,
     body: Incoming,
     route: Rc<RelayRoute>,
     config: &RelayConfig,
     dialect: &CallDialect,
     clock: &HostClock,
-) -> Result<RelayCall, Refusal> {
-    let arrived = clock.now();
-    let marks = (dialect.read_request)(&parts.headers);
-    let patience = match marks.time_left {
+) -> Result<ClientRequest, Refusal> {
+    let received_at = clock.now();
+    let marks = (dialect.read_request)(&head.headers);
+    let timeout = match marks.time_left {
         Some(left) => left.min(route.time_limit),
         None => route.time_limit,
     };
-    let until = arrived + patience;
+    let deadline = received_at + timeout;
     let reading = read_body(body, &config.limits);
-    let body = tokio::time::timeout(patience, reading)
+    let body = tokio::time::timeout(timeout, reading)
         .await
         .unwrap_or_else(|_| Err(slow_body()))?;
-    let target = parts
+    let target = head
         .uri
         .path_and_query()
         .map_or("/", |target| target.as_str());
-    let mut headers = parts.headers;
+    let mut headers = head.headers;
     web::strip_hop_headers(&mut headers);
     (dialect.strip_request)(&mut headers);
-    Ok(RelayCall {
-        method: parts.method,
+    Ok(ClientRequest {
+        method: head.method,
         target: target.to_owned(),
         headers,
         body,
@@ -173,41 +176,47 @@
         route,
         account: None,
         config_version: config.version,
-        arrived,
-        waited: Duration::ZERO,
-        until,
-        suspended: clock.suspended(),
-        is_suspected: false,
-        is_on_trial: false,
+        received_at,
+        prior_wait: Duration::ZERO,
+        deadline,
+        suspended_before: clock.suspended(),
+        is_crash_suspect: false,
+        is_crash_trial: false,
         clock: clock.clone(),
         digest: OnceCell::new(),
     })
 }
 
 async fn read_body(mut body: Incoming, limits: &CallerLimits) -> Result<Bytes, Refusal> {
-    let mut whole = BytesMut::new();
+    let mut buffer = BytesMut::new();
     loop {
         let frame = tokio::time::timeout(limits.idle_time, body.frame())
             .await
             .map_err(|_| slow_body())?;
         let Some(frame) = frame else {
-            return Ok(whole.freeze());
+            return Ok(buffer.freeze());
         };
         let frame = frame.map_err(|error| {
-            let text = format!("the body broke off: {error}");
+            let text = format!("reading the request body failed: {error}");
             Refusal::not_run(RefusalCode::InvalidRequest, text)
         })?;
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        if whole.len() + data.len() > limits.body_bytes {
-            let text = format!("the body has more than {} bytes", limits.body_bytes);
+        if buffer.len() + data.len() > limits.body_bytes {
+            let text = format!(
+                "the request body is larger than {} bytes",
+                limits.body_bytes
+            );
             return Err(Refusal::not_run(RefusalCode::TooLarge, text));
         }
-        whole.extend_from_slice(&data);
+        buffer.extend_from_slice(&data);
     }
 }
 
 fn slow_body() -> Refusal {
-    Refusal::not_run(RefusalCode::SlowCaller, "the body took too long to arrive")
+    Refusal::not_run(
+        RefusalCode::SlowCaller,
+        "the request body took too long to arrive",
+    )
 }
--- a/src/relay/request/decode.rs
+++ b/src/relay/request/decode.rs
@@ -1,10 +1,10 @@
-//! One decode of a streamed request: sending it, and whether its engine took it.
+//! Sends the decode of a streamed request and checks whether the engine accepted it.
 
 use {
     super::{
-        guard::CallGuard,
-        prefill::WaitingCache,
-        reserve::MemoryHold,
+        guard::InFlightGuard,
+        prefill::PrefilledCache,
+        reserve::MemoryReservation,
         stream::{RoundFailure, StreamRelay},
     },
     crate::{
@@ -15,98 +15,103 @@
     std::time::Duration,
 };
 
-/// Longest wait for the head of a decode engine's answer; it comes with the first token.
-const HEAD_PATIENCE: Duration = Duration::from_millis(3_000);
+/// Timeout for the response head of a decode engine, which it sends with the first token.
+const HEAD_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// The same where another engine may begin anew: an engine that has memory and the KV cache answers in
-/// some tens of milliseconds, one that computes the prompt itself in some hundred.
-const RESUMABLE_HEAD_PATIENCE: Duration = Duration::from_millis(2_000);
+/// The same for resumable streams, which another engine can start again. An engine that has memory and the KV cache
+/// responds within some tens of milliseconds, one that computes the prompt itself within some hundreds.
+const RESUMABLE_HEAD_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Bytes of a declining answer.
-const DECLINE_LIMIT: usize = 64 << 10;
+/// Maximum body size of a response with which an engine declines a request.
+const MAX_DECLINE_BYTES: usize = 64 << 10;
 
 impl StreamRelay {
-    /// Sends the request to the engine that holds memory for it and waits for the head of its answer.
+    /// Sends the request to the engine that has memory reserved for it and waits for the response head.
     pub(super) async fn send_decode(
         &self,
-        hold: &MemoryHold,
+        reservation: &MemoryReservation,
         start: &DecodeParams,
-        guard: &CallGuard,
+        guard: &InFlightGuard,
     ) -> Result<PooledAnswer, RoundFailure> {
-        let (parts, engine) = (&self.parts, &hold.engine);
-        let request = self.call.request_to(engine, &parts.dialect, |headers| {
-            (parts.dialect.engines.prepare_decode)(headers, start);
-        });
-        let patience = match self.is_resumable() {
-            true => RESUMABLE_HEAD_PATIENCE,
-            false => HEAD_PATIENCE,
+        let (parts, engine) = (&self.parts, &reservation.engine);
+        let request = self
+            .request
+            .backend_request(engine, &parts.dialect, |headers| {
+                (parts.dialect.engines.prepare_decode)(headers, start);
+            });
+        let timeout = match self.is_resumable() {
+            true => RESUMABLE_HEAD_TIMEOUT,
+            false => HEAD_TIMEOUT,
         };
-        let patience = patience.min(self.call.time_left());
-        let admitted = Some(hold.reserved_at);
-        let sending = parts.send_to(engine, PoolUse::Decode, request, admitted);
-        let sent = tokio::time::timeout(patience, sending)
+        let timeout = timeout.min(self.request.time_left());
+        let reserved_at = Some(reservation.reserved_at);
+        let sending = parts.send_to(engine, PoolUse::Decode, request, reserved_at);
+        let sent = tokio::time::timeout(timeout, sending)
             .await
             .unwrap_or_else(|_| Err(SendFailure::no_answer_in_time()));
         let failure = match sent {
-            Ok(answer) => return Ok(answer),
+            Ok(response) => return Ok(response),
             Err(failure) => failure,
         };
         parts.note_send_failure(engine, &failure);
         if failure.is_break() {
-            guard.settle_break(&self.call).await;
+            guard.await_end_check(&self.request).await;
         }
         let detail = format!("decode at {}: {}", engine.id, failure.detail);
         Err(RoundFailure::new(failure.verdict, detail))
     }
 
-    /// Whether the answer is this request's, and whether the engine took it.
-    pub(super) async fn check_answer(
+    /// Checks that the response belongs to this request and that the engine accepted the decode.
+    pub(super) async fn check_response(
         &mut self,
         engine: &BackendInfo,
-        guard: &CallGuard,
-        cache: Option<WaitingCache>,
-        answer: PooledAnswer,
+        guard: &InFlightGuard,
+        cache: Option<PrefilledCache>,
+        response: PooledAnswer,
     ) -> Result<PooledAnswer, RoundFailure> {
         let parts = self.parts.clone();
-        let marks = (parts.dialect.read_response)(answer.status, &answer.headers);
-        guard.note_marks(answer.status, &marks);
-        if marks.is_for_other_request(&self.call.marks.id) {
-            let detail = "an answer to another request";
+        let marks = (parts.dialect.read_response)(response.status, &response.headers);
+        guard.record_response(response.status, &marks);
+        if marks.is_for_other_request(&self.request.marks.id) {
+            let detail = "response to another request";
             parts.note_failure(engine, BackendFailure::Broken, detail);
             let detail = format!("decode at {}: {detail}", engine.id);
             return Err(RoundFailure::new(RunVerdict::MayHaveRun, detail));
         }
         if marks.not_run {
-            return Err(self.take_decline(engine, cache, answer).await);
+            return Err(self.handle_decline(engine, cache, response).await);
         }
         if let Some(mut cache) = cache {
-            cache.taken();
+            cache.mark_transferred();
         }
-        let is_good = !answer.status.is_server_error();
+        let is_good = !response.status.is_server_error();
         parts.book.borrow_mut().answered(&engine.id, is_good);
-        Ok(answer)
+        Ok(response)
     }
 
-    // Most often the KV cache could not be had: the prefill engine is to blame, and the decode engine
-    // computes the prompt itself in the next round.
-    async fn take_decline(
+    // The usual cause is that the KV cache could not be fetched. That counts against the prefill engine, and in the next
+    // round the decode engine computes the prompt itself.
+    async fn handle_decline(
         &mut self,
         engine: &BackendInfo,
-        cache: Option<WaitingCache>,
-        answer: PooledAnswer,
+        cache: Option<PrefilledCache>,
+        response: PooledAnswer,
     ) -> RoundFailure {
-        let status = answer.status;
+        let status = response.status;
         self.parts.note_decline(engine, status);
-        // One that asks for a backoff turned the request away for itself.
+        // An engine that asks for a backoff declined because of its own state, not because of the KV cache.
         if self.parts.may_send(engine, None) {
-            let blamed = cache.as_ref().map_or(engine, |cache| &cache.engine);
+            let at_fault = cache.as_ref().map_or(engine, |cache| &cache.engine);
             let now = self.parts.now();
-            self.parts.book.borrow_mut().declined(&blamed.id, now);
+            self.parts.book.borrow_mut().declined(&at_fault.id, now);
             self.skip_prefill = cache.is_some();
         }
-        // Read to its end, so that the connection can be used again.
-        if let Err(detail) = answer.body.read(DECLINE_LIMIT).await {
-            log::debug!("a declining answer of {} broke off: {detail}", engine.id);
+        // The body is read to its end so that the connection can be reused.
+        if let Err(detail) = response.body.read(MAX_DECLINE_BYTES).await {
+            log::debug!(
+                "reading the response of {}, which declined a decode, failed: {detail}",
+                engine.id
+            );
         }
         let detail = format!("decode at {} declined with status {status}", engine.id);
         RoundFailure::new(RunVerdict::NotRun, detail)
--- a/src/relay/request/pace.rs
+++ b/src/relay/request/event_gaps.rs
@@ -1,23 +1,23 @@
-//! How evenly a stream's events reach its caller.
+//! Measures the gaps between the events of a stream that are sent to the client.
 
 use {std::time::Duration, tokio::time::Instant};
 
-/// The pauses between the events of one stream.
+/// The gaps between the events of one stream.
 #[derive(Debug, Default)]
-pub(super) struct EventPace {
+pub(super) struct EventGaps {
     last: Option<Instant>,
     longest: Duration,
 }
 
-impl EventPace {
-    /// Events were passed on.
-    pub(super) fn passed(&mut self, now: Instant) {
+impl EventGaps {
+    /// Records that events were sent at `now`.
+    pub(super) fn record(&mut self, now: Instant) {
         if let Some(last) = self.last.replace(now) {
             self.longest = self.longest.max(now.saturating_duration_since(last));
         }
     }
 
-    /// The longest pause so far.
+    /// The longest gap so far.
     pub(super) fn longest(&self) -> Duration {
         self.longest
     }
--- a/src/relay/request/events.rs
+++ b/src/relay/request/event_splitter.rs
@@ -1,14 +1,14 @@
-//! Cutting a stream of server-sent events into whole events.
+//! Splits a stream of server-sent events into whole events.
 
 use bytes::{Bytes, BytesMut};
 
-/// What ends an event.
+/// Terminates an event.
 const EVENT_END: &[u8] = b"\n\n";
 
-/// What begins the line that names an event.
+/// Starts the line with the id of an event.
 const ID_FIELD: &[u8] = b"id:";
 
-/// Collects bytes and gives out whole events.
+/// Buffers bytes and returns whole events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     pending: BytesMut,
@@ -16,7 +16,7 @@
 }
 
 impl EventSplitter {
-    /// Adds bytes; gives the whole events that are there now, in one piece.
+    /// Adds bytes and returns the events that are complete now, in one piece.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
         self.pending.extend_from_slice(bytes);
         let end = rfind(&self.pending, EVENT_END)? + EVENT_END.len();
@@ -27,22 +27,22 @@
         Some(whole)
     }
 
-    /// Id of the last event that was given out.
+    /// Id of the last returned event.
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 
-    /// Whether part of an event is left over.
+    /// Whether part of an event is buffered.
     pub fn has_rest(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Forgets the part of an event that is left over: its sender broke off.
+    /// Discards the buffered part of an event, after the connection to its sender was lost.
     pub fn drop_rest(&mut self) {
         self.pending.clear();
     }
 
-    /// Gives out what is left over at the stream's orderly end.
+    /// Returns the buffered rest when the stream ended regularly.
     pub fn take_rest(&mut self) -> Option<Bytes> {
         let rest = self.pending.split().freeze();
         (!rest.is_empty()).then_some(rest)
--- a/src/relay/request/guard.rs
+++ b/src/relay/request/guard.rs
@@ -1,7 +1,7 @@
-//! A request in progress at a backend server: counted, and what is found out where its connection breaks off.
+//! Counts the requests in progress at backend servers. When a connection is lost, checks whether the server ended.
 
 use {
-    super::{call::RelayCall, chunks::ChunkEnd},
+    super::{client_request::ClientRequest, forward::StreamEnd},
     crate::{
         event,
         relay::{
@@ -16,116 +16,123 @@
     tokio::{task::JoinHandle, time::Instant},
 };
 
-/// Longest time for which a request waits until it is known whether its server ended, before it is sent on: the answer
-/// of a host that is there takes one to some milliseconds.
-const SETTLE_TIME: Duration = Duration::from_millis(60);
+/// How long a request whose connection was lost waits for the check whether its server ended, before it is retried. A
+/// machine that is up responds within one to some milliseconds.
+const END_CHECK_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// A request in progress at a backend server, counted until dropped.
-pub struct CallGuard {
+/// Counts a request as in progress at a backend server until dropped.
+pub struct InFlightGuard {
     parts: Rc<RelayParts>,
     backend: Box<BackendInfo>,
-    began: Instant,
-    sent: Duration,
-    call: u64,
+    started: Instant,
+    sent_at: Duration,
+    call_id: u64,
 }
 
-impl CallGuard {
-    /// Counts a request from now.
-    pub fn begin(parts: &Rc<RelayParts>, backend: &BackendInfo, is_suspected: bool) -> Self {
+impl InFlightGuard {
+    /// Counts a request as in progress from now on.
+    pub fn begin(parts: &Rc<RelayParts>, backend: &BackendInfo, is_crash_suspect: bool) -> Self {
         let now = parts.now();
-        let call = parts
+        let call_id = parts
             .book
             .borrow_mut()
-            .call_began(&backend.id, is_suspected, now);
+            .call_began(&backend.id, is_crash_suspect, now);
         Self {
             parts: parts.clone(),
             backend: Box::new(backend.clone()),
-            began: Instant::now(),
-            sent: now,
-            call,
+            started: Instant::now(),
+            sent_at: now,
+            call_id,
         }
     }
 
-    /// The request was answered, well or not: takes what the answer says of its server.
-    pub(super) fn note_marks(&self, status: StatusCode, marks: &ResponseMetadata) {
+    /// Records what a response, successful or not, says about its server.
+    pub(super) fn record_response(&self, status: StatusCode, marks: &ResponseMetadata) {
         let kind = AnswerKind::of(status, marks.not_run);
         let parts = &self.parts;
-        parts.note_marks(&self.backend, &marks.server, kind, self.sent);
+        parts.note_marks(&self.backend, &marks.server, kind, self.sent_at);
     }
 
-    /// The request's connection broke off while it ran, or may have: finds out whether the backend server ended, and
-    /// waits a moment for that, so that whoever sends the request on knows.
-    pub async fn settle_break(&self, call: &RelayCall) {
-        let Some(learning) = self.note_break(call) else {
+    /// Checks whether the backend server ended, after the connection of a request that ran or may have run was lost.
+    /// Waits briefly for the result, so that a retry takes it into account.
+    pub async fn await_end_check(&self, request: &ClientRequest) {
+        let Some(checking) = self.spawn_end_check(request) else {
             return;
         };
-        match tokio::time::timeout(SETTLE_TIME, learning).await {
+        match tokio::time::timeout(END_CHECK_TIMEOUT, checking).await {
             Ok(Ok(())) => {}
-            Ok(Err(error)) => log::error!("finding out about {}: {error}", self.backend.id),
-            Err(_) => log::debug!("nobody can say yet whether {} ended", self.backend.id),
+            Ok(Err(error)) => log::error!(
+                "the check whether {} ended failed: {error}",
+                self.backend.id
+            ),
+            Err(_) => log::debug!(
+                "the check whether {} ended is still running; going on without its result",
+                self.backend.id
+            ),
         }
     }
 
-    /// The answer that was being passed on came to an end.
-    pub(super) fn note_chunk_end(&self, call: &RelayCall, end: ChunkEnd) {
+    /// Records how the forwarded response ended.
+    pub(super) fn record_end(&self, request: &ClientRequest, end: StreamEnd) {
         match end {
-            ChunkEnd::Whole => self.parts.note_good_run(|| call.digest()),
-            ChunkEnd::Broken => drop(self.note_break(call)),
-            ChunkEnd::TimeLimit => {}
+            StreamEnd::Complete => self.parts.note_good_run(|| request.digest()),
+            StreamEnd::Broken => drop(self.spawn_end_check(request)),
+            StreamEnd::TimeLimit => {}
         }
     }
 
-    /// The same without waiting; none where the backend server was to end, or is no longer listed.
-    pub fn note_break(&self, call: &RelayCall) -> Option<JoinHandle<()>> {
+    /// Starts the check without waiting for it. Returns `None` if the backend server was leaving anyway, or is no longer
+    /// listed with this run.
+    pub fn spawn_end_check(&self, request: &ClientRequest) -> Option<JoinHandle<()>> {
         let book = self.parts.book.borrow();
         let view = book.view(&self.backend.id)?;
         let is_leaving = book.is_leaving(view, self.parts.now());
         if view.info.born != self.backend.born || is_leaving {
             return None;
         }
-        let broken = BrokenRun {
+        let broken = BrokenRequest {
             backend: BackendInfo::clone(&self.backend),
-            request: call.marks.id.to_string(),
-            route: call.route.name.to_string(),
-            account: call.account_name().to_owned(),
-            digest: call.digest(),
-            ran: self.began.elapsed(),
-            beside: view.calls().saturating_sub(1),
+            request: request.marks.id.to_string(),
+            route: request.route.name.to_string(),
+            account: request.account_name().to_owned(),
+            digest: request.digest(),
+            ran: self.started.elapsed(),
+            concurrent: view.calls().saturating_sub(1),
         };
         let parts = self.parts.clone();
-        Some(tokio::task::spawn_local(broken.learn(parts)))
+        Some(tokio::task::spawn_local(broken.check_end(parts)))
     }
 }
 
-impl Drop for CallGuard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let mut book = self.parts.book.borrow_mut();
-        book.call_ended(&self.backend.id, self.call);
+        book.call_ended(&self.backend.id, self.call_id);
     }
 }
 
-// A request whose connection broke off, as it was then.
-struct BrokenRun {
+// A request whose connection was lost, with the state of that moment.
+struct BrokenRequest {
     backend: BackendInfo,
     request: String,
     route: String,
     account: String,
     digest: RequestDigest,
     ran: Duration,
-    // Other requests of this host at the same server.
-    beside: usize,
+    // Number of other requests of this host at the same server.
+    concurrent: usize,
 }
 
-impl BrokenRun {
-    async fn learn(self, parts: Rc<RelayParts>) {
+impl BrokenRequest {
+    async fn check_end(self, parts: Rc<RelayParts>) {
         if parts.has_ended(&self.backend).await {
             parts.metrics.ended_under(&self.backend.service);
             parts.note_end(self.digest, &self.backend);
-            self.log();
+            self.log_end();
         }
     }
 
-    fn log(&self) {
+    fn log_end(&self) {
         event::emit(
             &event::BACKEND_ENDED,
             &[
@@ -137,7 +144,7 @@
                 ("account", &self.account),
                 ("digest", &self.digest),
                 ("ran_ms", &self.ran.as_millis()),
-                ("beside", &self.beside),
+                ("beside", &self.concurrent),
             ],
         );
     }
--- a/src/relay/request/handler.rs
+++ b/src/relay/request/handler.rs
@@ -1,10 +1,10 @@
-//! From a caller's request to its one answer.
+//! Handles a client's request: checks, routing, account limits, relaying and the response.
 
 use {
     super::{
         answer::{self, RelayAnswer},
-        call::{self, RelayCall},
-        judge, plain, stream,
+        client_request::{self, ClientRequest},
+        plain, send_check, stream,
     },
     crate::{
         event,
@@ -21,10 +21,10 @@
     tokio::time::Instant,
 };
 
-/// When a caller is to come back to a host that has no configuration yet.
-const COME_BACK: Duration = Duration::from_millis(300);
+/// `Retry-After` while the host has no configuration yet, and on a route without a service.
+const RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// Answers a caller's request.
+/// Handles a client's request. A refusal is logged and becomes a response.
 pub async fn answer_caller(parts: Rc<RelayParts>, request: Request<Incoming>) -> RelayAnswer {
     let arrived = Instant::now();
     let (head, body) = request.into_parts();
@@ -71,13 +71,13 @@
     let limits = &routes.config().limits;
     check_headers(&head, limits)?;
     let route = find_route(&routes, &head)?;
-    let shown = (parts.dialect.read_request)(&head.headers).key;
-    parts.identify(&route, shown)?;
+    let api_key = (parts.dialect.read_request)(&head.headers).key;
+    parts.identify(&route, api_key)?;
     let service = routes.draw_service(&route).ok_or_else(|| {
-        let text = format!("route {} leads to no service", route.name);
-        Refusal::not_run(RefusalCode::NoBackend, text).after(COME_BACK)
+        let text = format!("route {} has no service to choose", route.name);
+        Refusal::not_run(RefusalCode::NoBackend, text).after(RETRY_AFTER)
     })?;
-    let call = call::read_call(
+    let request = client_request::read_request(
         head,
         body,
         route,
@@ -86,55 +86,55 @@
         &parts.clock,
     )
     .await?;
-    // Again: the body may have taken longer than a key was in force.
-    let account = parts.identify(&call.route, call.marks.key)?;
-    let call = call.of_account(account);
-    let call = judge::admit(parts, call, &service.name).await?;
-    let charge = charge(parts, &call).await?;
+    // Checked again, because the key may have expired while the body was read.
+    let account = parts.identify(&request.route, request.marks.key)?;
+    let request = request.with_account(account);
+    let request = send_check::admit(parts, request, &service.name).await?;
+    let charge = charge(parts, &request).await?;
     parts.count_request(&service.name);
-    let call = Rc::new(with_waited(parts, call));
-    let account = call.account.clone();
+    let request = Rc::new(with_prior_wait(parts, request));
+    let account = request.account.clone();
     let name = service.name.clone();
-    let answer = match is_engine_stream(&call, service.engine.is_some()) {
-        true => stream::relay_stream(parts.clone(), call, name).await,
-        false => plain::relay_plain(parts.clone(), call, name).await,
+    let answer = match uses_engines(&request, service.engine.is_some()) {
+        true => stream::relay_stream(parts.clone(), request, name).await,
+        false => plain::relay_plain(parts.clone(), request, name).await,
     };
     if let (Err(refusal), Some(account), Some(charge)) = (&answer, account, charge)
         && refusal.verdict == RunVerdict::NotRun
     {
         parts.give_back(&account.name, charge);
     }
-    // In progress until the caller has its last byte.
+    // Counts as in progress until the client has received the last byte.
     Ok(answer?.map(|body| answer::kept_with(body, entry)))
 }
 
-// What the request uses of its account's limit.
-async fn charge(parts: &RelayParts, call: &RelayCall) -> Result<Option<UseCharge>, Refusal> {
-    let Some(account) = &call.account else {
+// Charges the request to its account's limit.
+async fn charge(parts: &RelayParts, request: &ClientRequest) -> Result<Option<UseCharge>, Refusal> {
+    let Some(account) = &request.account else {
         return Ok(None);
     };
-    let tokens = call.marks.prompt_tokens + call.marks.answer_limit;
-    let target = call.route.latency_target;
+    let tokens = request.marks.prompt_tokens + request.marks.answer_limit;
+    let target = request.route.latency_target;
     parts.let_in(account, tokens, target).await
 }
 
-// A caller that was refused before is known by the time that it still has.
-fn with_waited(parts: &RelayParts, call: RelayCall) -> RelayCall {
-    let Some(left) = call.marks.time_left else {
-        return call;
+// Estimates how long the client waited in earlier tries from the time that it has left.
+fn with_prior_wait(parts: &RelayParts, request: ClientRequest) -> ClientRequest {
+    let Some(left) = request.marks.time_left else {
+        return request;
     };
     let mut waits = parts.waits.borrow_mut();
-    let waited = waits.waited(&call.route.name, left);
-    call.with_waited(waited)
+    let prior_wait = waits.waited(&request.route.name, left);
+    request.with_prior_wait(prior_wait)
 }
 
-fn is_engine_stream(call: &RelayCall, has_engines: bool) -> bool {
-    call.route.kind.is_stream() && has_engines
+fn uses_engines(request: &ClientRequest, has_engines: bool) -> bool {
+    request.route.kind.is_stream() && has_engines
 }
 
 fn not_configured() -> Refusal {
     let text = "this host has no configuration yet";
-    Refusal::not_run(RefusalCode::NotConfigured, text).after(COME_BACK)
+    Refusal::not_run(RefusalCode::NotConfigured, text).after(RETRY_AFTER)
 }
 
 fn check_headers(head: &Parts, limits: &CallerLimits) -> Result<(), Refusal> {
@@ -144,7 +144,7 @@
         .sum();
     if size > limits.header_bytes {
         let text = format!(
-            "the headers have {size} bytes, more than {}",
+            "the headers take {size} bytes, more than the limit of {}",
             limits.header_bytes
         );
         return Err(Refusal::not_run(RefusalCode::HeadersTooLarge, text));
@@ -153,8 +153,8 @@
 }
 
 fn find_route(routes: &RouteTable, head: &Parts) -> Result<Rc<RelayRoute>, Refusal> {
-    let named = head.headers.get(header::HOST);
-    let host = named.and_then(|value| value.to_str().ok());
+    let host_header = head.headers.get(header::HOST);
+    let host = host_header.and_then(|value| value.to_str().ok());
     let host = host.or_else(|| head.uri.host()).unwrap_or_default();
     routes.find(host, head.uri.path()).ok_or_else(|| {
         let text = format!("no route for host {host:?} and path {:?}", head.uri.path());
--- a/src/relay/request/plain.rs
+++ b/src/relay/request/plain.rs
@@ -1,13 +1,13 @@
-//! Requests to plain services: sent once, again only where nothing can run twice.
+//! Requests to plain services. A request is sent again only if it has not run or its route is repeatable.
 
 use {
     super::{
         answer::{self, RelayAnswer},
-        call::RelayCall,
-        chunks::{self, ChunkStep},
-        guard::CallGuard,
-        judge,
-        send::{self, PlainAnswer, PlainBody, SendOutcome},
+        client_request::ClientRequest,
+        forward::{self, ForwardEvent},
+        guard::InFlightGuard,
+        send::{self, PlainBody, PlainResponse, SendOutcome},
+        send_check,
     },
     crate::{
         event,
@@ -29,149 +29,155 @@
     tokio::time::Instant,
 };
 
-/// Part of the latency target after whose silence a repeatable request is also sent to a second server:
-/// the second answer can then still be in time.
-const HEDGE_SHARE: f64 = 0.6;
+/// Part of the latency target after which a repeatable request without a response is also sent to a second server
+/// (hedging), whose response can then still be in time.
+const HEDGE_DELAY_SHARE: f64 = 0.6;
 
-/// Servers that decline one after the other before the caller is told to come back.
-const DECLINES_MAX: usize = 3;
+/// Number of servers that may decline a request before it is refused.
+const MAX_DECLINES: usize = 3;
 
-/// Rate-limited servers that are asked for a permit one after the other: each takes a moment of the caller's time.
-const PERMIT_REQUESTS: usize = 4;
+/// Number of rate-limited servers that are asked for a permit one after the other. Each adds latency.
+const MAX_PERMIT_REQUESTS: usize = 4;
 
-/// When a caller is to come back after a refusal of a plain request.
-const COME_BACK: Duration = Duration::from_millis(100);
+/// `Retry-After` of a refused plain request.
+const RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// When callers are to come back where no server can be reached: cuts and restarts take seconds, and those who
-/// were refused together are not to come back together. The platform's callers wait up to a third of their time.
-const COME_BACK_UNREACHABLE: RangeInclusive<Duration> =
+/// `Retry-After` when no server can be reached. Network partitions and restarts take seconds, and the random spread keeps
+/// clients that were refused together from retrying together. The platform's clients wait up to a third of their time.
+const UNREACHABLE_RETRY_AFTER: RangeInclusive<Duration> =
     Duration::from_millis(700)..=Duration::from_millis(1_300);
 
-type Sending = LocalBoxFuture<'static, (BackendInfo, SendOutcome)>;
+type PendingSend = LocalBoxFuture<'static, (BackendInfo, SendOutcome)>;
 
-/// A plain request on its way: what was tried and what came of it.
+/// The state of a plain request: the servers that were tried and their outcomes.
 struct PlainRelay {
     parts: Rc<RelayParts>,
-    call: Rc<RelayCall>,
+    request: Rc<ClientRequest>,
     service: FastStr,
     tried: Vec<FastStr>,
-    // Servers that have not answered yet.
-    open: Vec<BackendInfo>,
-    // Sends that ran or may have run; declined ones do not count.
+    // Servers with an outstanding send.
+    pending: Vec<BackendInfo>,
+    // Number of sends that ran or may have run; declined and unsent ones do not count.
     sends: u32,
     declines: usize,
-    // Whether any send has reached its server, or may have: the next one is then a repeat.
-    arrived: bool,
-    // Whether all servers that are left fail.
+    // Whether any send reached its server, or may have. The next one then counts as a retry.
+    has_reached_server: bool,
+    // Whether all remaining servers fail.
     is_unreachable: bool,
-    // Where rate-limited servers had no permit for it: when one is likely.
+    // When a permit is likely, if rate-limited servers denied one.
     permit_wait: Option<PermitWait>,
-    // Why it may not be sent any more.
-    refused: Option<Refusal>,
+    // The refusal to return if the request may not be sent any more.
+    final_refusal: Option<Refusal>,
     verdict: RunVerdict,
     detail: String,
-    // Each server tried and what it answered, for the log.
-    trail: String,
-    fallback: Option<PlainAnswer>,
-    // Whether the end was logged.
-    ended: bool,
+    // Each server tried and the outcome, for the log.
+    attempt_log: String,
+    fallback: Option<PlainResponse>,
+    // Whether the end of the request was logged.
+    is_end_logged: bool,
 }
 
 impl Drop for PlainRelay {
-    // The caller left: its connection drops whatever is being done for it.
+    // Logs requests whose client disconnected, which drops their state early.
     fn drop(&mut self) {
-        if !self.ended {
+        if !self.is_end_logged {
             self.log_end("caller-gone");
         }
     }
 }
 
-/// Answers a plain request.
+/// Relays a plain request and returns its response.
 pub async fn relay_plain(
     parts: Rc<RelayParts>,
-    call: Rc<RelayCall>,
+    request: Rc<ClientRequest>,
     service: FastStr,
 ) -> Result<RelayAnswer, Refusal> {
     let mut relay = PlainRelay {
         parts,
-        call,
+        request,
         service,
         tried: Vec::new(),
-        open: Vec::new(),
+        pending: Vec::new(),
         sends: 0,
         declines: 0,
-        arrived: false,
+        has_reached_server: false,
         is_unreachable: false,
         permit_wait: None,
-        refused: None,
+        final_refusal: None,
         verdict: RunVerdict::NotRun,
-        detail: "no backend server can take it".into(),
-        trail: String::new(),
+        detail: "no backend server is available".into(),
+        attempt_log: String::new(),
         fallback: None,
-        ended: false,
+        is_end_logged: false,
     };
-    let answer = match relay.run().await {
-        Ok(answer) => answer,
+    let response = match relay.run().await {
+        Ok(response) => response,
         Err(refusal) => {
             relay.log_end("refused");
             return Err(refusal);
         }
     };
-    if matches!(answer.body, PlainBody::Whole(_)) {
-        relay.log_end(answer.status.as_str());
+    if matches!(response.body, PlainBody::Full(_)) {
+        relay.log_end(response.status.as_str());
     }
-    let body = match answer.body {
-        PlainBody::Whole(body) => answer::whole_body(body),
-        PlainBody::Running(body, guard) => {
-            let call = relay.call.clone();
-            let note = |kept: &mut (PlainRelay, CallGuard), step: ChunkStep| match step {
-                ChunkStep::Passed => {}
-                ChunkStep::Ended(end) => {
-                    kept.1.note_chunk_end(&kept.0.call, end);
-                    kept.0.log_end(end.as_str());
+    let body = match response.body {
+        PlainBody::Full(body) => answer::whole_body(body),
+        PlainBody::Streaming(body, guard) => {
+            let request = relay.request.clone();
+            let observe = |state: &mut (PlainRelay, InFlightGuard), event: ForwardEvent| match event
+            {
+                ForwardEvent::Chunk => {}
+                ForwardEvent::End(end) => {
+                    state.1.record_end(&state.0.request, end);
+                    state.0.log_end(end.as_str());
                 }
             };
-            answer::streamed_body(chunks::pass_on(body, call, (relay, guard), note))
+            answer::streamed_body(forward::forward_body(
+                body,
+                request,
+                (relay, guard),
+                observe,
+            ))
         }
     };
-    Ok(answer::relayed(answer.status, answer.headers, body))
+    Ok(answer::relayed(response.status, response.headers, body))
 }
 
 impl PlainRelay {
-    async fn run(&mut self) -> Result<PlainAnswer, Refusal> {
-        let mut running: FuturesUnordered<Sending> = FuturesUnordered::new();
-        if !self.launch(&mut running, false).await {
+    async fn run(&mut self) -> Result<PlainResponse, Refusal> {
+        let mut running: FuturesUnordered<PendingSend> = FuturesUnordered::new();
+        if !self.send_to_next(&mut running, false).await {
             return Err(self.refusal(RefusalCode::NoBackend));
         }
         let mut hedge_at = self.hedge_time();
         loop {
             tokio::select! {
                 Some((backend, outcome)) = running.next() => {
-                    if let Some(answer) = self.take(&backend, outcome) {
-                        return Ok(answer);
+                    if let Some(response) = self.handle_outcome(&backend, outcome) {
+                        return Ok(response);
                     }
-                    if self.may_send_again() {
-                        self.launch(&mut running, false).await;
+                    if self.may_retry() {
+                        self.send_to_next(&mut running, false).await;
                     }
                     if running.is_empty() {
                         return self.fallback.take().ok_or_else(|| self.refusal(RefusalCode::BackendLost));
                     }
                 }
                 () = tokio::time::sleep_until(hedge_at) => {
-                    // Two servers at a time would end under it.
-                    if self.may_send_again() && !self.call.is_suspected {
-                        self.launch(&mut running, true).await;
+                    // A request that may crash its servers is sent to one server at a time, so that it ends no two.
+                    if self.may_retry() && !self.request.is_crash_suspect {
+                        self.send_to_next(&mut running, true).await;
                     }
                     hedge_at = self.hedge_time();
                 }
-                () = tokio::time::sleep(self.call.time_left()) => {
-                    // A process that was paused wakes up late: what is there already still counts.
+                () = tokio::time::sleep(self.request.time_left()) => {
+                    // A process that was suspended may see the deadline late; a response that has arrived still counts.
                     if let Ok(Some((backend, outcome))) = web::within(Duration::ZERO, running.next()).await
-                        && let Some(answer) = self.take(&backend, outcome)
+                        && let Some(response) = self.handle_outcome(&backend, outcome)
                     {
-                        return Ok(answer);
+                        return Ok(response);
                     }
-                    self.give_up_open();
+                    self.fail_unanswered();
                     return self.fallback.take().ok_or_else(|| self.refusal(RefusalCode::DeadlinePassed));
                 }
             }
@@ -179,14 +185,14 @@
     }
 
     fn hedge_time(&self) -> Instant {
-        Instant::now() + self.call.route.latency_target.mul_f64(HEDGE_SHARE)
+        Instant::now() + self.request.route.latency_target.mul_f64(HEDGE_DELAY_SHARE)
     }
 
-    // The time limit is reached: what was sent and not answered may have run.
-    fn give_up_open(&mut self) {
-        for backend in std::mem::take(&mut self.open) {
-            self.note_step(&backend, "silent");
-            let detail = "no answer within the time limit";
+    // Records at the time limit that sends without a response may have run.
+    fn fail_unanswered(&mut self) {
+        for backend in std::mem::take(&mut self.pending) {
+            self.log_attempt(&backend, "silent");
+            let detail = "no response within the time limit";
             self.parts
                 .note_failure(&backend, BackendFailure::Silent, detail);
             self.verdict = self.verdict.max(RunVerdict::MayHaveRun);
@@ -194,39 +200,44 @@
         }
     }
 
-    // Sends to the best server not tried yet. It costs a repeat if a send before it has reached its server or
-    // is under way; when a zone is cut off, many requests find a server that cannot be reached first.
-    async fn launch(&mut self, running: &mut FuturesUnordered<Sending>, is_hedge: bool) -> bool {
+    // Sends to the best server not tried yet. That counts as a retry only if an earlier send reached its server or is
+    // outstanding: when a zone is cut off, many requests are first sent to a server that is unreachable.
+    async fn send_to_next(
+        &mut self,
+        running: &mut FuturesUnordered<PendingSend>,
+        is_hedge: bool,
+    ) -> bool {
         let Some((backend, permit)) = self.next_server(is_hedge).await else {
             return false;
         };
-        let is_repeat = self.arrived || !self.open.is_empty();
-        if is_repeat && !self.parts.spend_repeat(&self.service) {
+        let is_retry = self.has_reached_server || !self.pending.is_empty();
+        if is_retry && !self.parts.spend_repeat(&self.service) {
             return false;
         }
         permit.use_up();
         self.tried.push(backend.id.clone());
-        self.open.push(backend.clone());
+        self.pending.push(backend.clone());
         self.sends += 1;
         running.push(Box::pin(send::send_plain(
             self.parts.clone(),
-            self.call.clone(),
+            self.request.clone(),
             backend,
         )));
         true
     }
 
-    // The best server not tried yet that has a permit for the request, if it is rate-limited. Those that deny one do not
-    // stand before one that is not rate-limited.
+    // Chooses the best server not tried yet and takes its permit if it is rate-limited. After `MAX_PERMIT_REQUESTS` servers
+    // without a permit only those without a rate limit are considered, which the others must not keep from being used.
     async fn next_server(&mut self, is_hedge: bool) -> Option<(BackendInfo, ServerPermit)> {
-        let rank = self.call.priority();
-        for asked in 0..=PERMIT_REQUESTS {
-            let checked = judge::check_send(&self.parts, &self.call, &self.service, self.verdict);
+        let rank = self.request.priority();
+        for asked in 0..=MAX_PERMIT_REQUESTS {
+            let checked =
+                send_check::check_send(&self.parts, &self.request, &self.service, self.verdict);
             if let Err(refusal) = checked {
-                self.refused = Some(refusal);
+                self.final_refusal = Some(refusal);
                 return None;
             }
-            let needs_no_permit = is_hedge || asked == PERMIT_REQUESTS;
+            let needs_no_permit = is_hedge || asked == MAX_PERMIT_REQUESTS;
             let backend = self.choose(SendWish {
                 rank,
                 needs_no_permit,
@@ -235,7 +246,7 @@
                 Ok(permit) if self.parts.may_send(&backend, None) => {
                     return Some((backend, permit));
                 }
-                // It said meanwhile that it takes no new requests, and is not chosen again.
+                // The server has announced meanwhile that it takes no new requests, so it is not chosen again.
                 Ok(_) => {}
                 Err(wait) => self.permit_wait = Some(wait),
             }
@@ -258,61 +269,65 @@
         None
     }
 
-    fn may_send_again(&self) -> bool {
+    fn may_retry(&self) -> bool {
         let allowed = self
             .verdict
-            .allows_retry(self.call.route.kind.is_repeatable());
-        let attempts = self.call.route.attempts.max(1);
-        allowed && self.sends < attempts && self.declines < DECLINES_MAX
+            .allows_retry(self.request.route.kind.is_repeatable());
+        let attempts = self.request.route.attempts.max(1);
+        allowed && self.sends < attempts && self.declines < MAX_DECLINES
     }
 
     fn log_end(&mut self, end: &str) {
-        self.ended = true;
-        let call = &self.call;
+        self.is_end_logged = true;
+        let request = &self.request;
         event::emit(
             &event::REQUEST_ENDED,
             &[
-                ("request", &call.marks.id),
-                ("route", &call.route.name),
-                ("account", &call.account_name()),
-                ("config", &call.config_version),
+                ("request", &request.marks.id),
+                ("route", &request.route.name),
+                ("account", &request.account_name()),
+                ("config", &request.config_version),
                 ("end", &end),
-                ("tried", &self.trail),
-                ("ended_ms", &call.age().as_millis()),
+                ("tried", &self.attempt_log),
+                ("ended_ms", &request.age().as_millis()),
             ],
         );
     }
 
-    fn note_step(&mut self, backend: &BackendInfo, step: &str) {
-        let at = self.call.age().as_millis();
-        let between = if self.trail.is_empty() { "" } else { "," };
-        let step = format!("{between}{}:{step}@{at}", backend.id);
-        self.trail.push_str(&step);
+    fn log_attempt(&mut self, backend: &BackendInfo, outcome: &str) {
+        let at_ms = self.request.age().as_millis();
+        let separator = if self.attempt_log.is_empty() { "" } else { "," };
+        let entry = format!("{separator}{}:{outcome}@{at_ms}", backend.id);
+        self.attempt_log.push_str(&entry);
     }
 
-    // Takes what became of a send; gives the answer if that is the caller's.
-    fn take(&mut self, backend: &BackendInfo, outcome: SendOutcome) -> Option<PlainAnswer> {
-        self.open.retain(|open| open.id != backend.id);
-        self.arrived |= !matches!(outcome, SendOutcome::Unsent(_));
+    // Records the outcome of a send; returns the response if it is the one for the client.
+    fn handle_outcome(
+        &mut self,
+        backend: &BackendInfo,
+        outcome: SendOutcome,
+    ) -> Option<PlainResponse> {
+        self.pending.retain(|pending| pending.id != backend.id);
+        self.has_reached_server |= !matches!(outcome, SendOutcome::Unsent(_));
         match outcome {
-            SendOutcome::Answered(answer) => {
-                self.note_step(backend, answer.status.as_str());
-                let is_good = !answer.status.is_server_error();
+            SendOutcome::Responded(response) => {
+                self.log_attempt(backend, response.status.as_str());
+                let is_good = !response.status.is_server_error();
                 self.parts.book.borrow_mut().answered(&backend.id, is_good);
-                if is_good && matches!(answer.body, PlainBody::Whole(_)) {
-                    self.parts.note_good_run(|| self.call.digest());
+                if is_good && matches!(response.body, PlainBody::Full(_)) {
+                    self.parts.note_good_run(|| self.request.digest());
                 }
-                if is_good || !self.call.route.kind.is_repeatable() {
-                    return Some(*answer);
+                if is_good || !self.request.route.kind.is_repeatable() {
+                    return Some(*response);
                 }
                 self.verdict = RunVerdict::Ran;
-                self.detail = format!("{} answered {}", backend.id, answer.status);
-                self.fallback = Some(*answer);
+                self.detail = format!("{} responded with status {}", backend.id, response.status);
+                self.fallback = Some(*response);
             }
-            SendOutcome::Declined(detail) => self.take_decline(backend, "declined", &detail),
-            SendOutcome::Unsent(detail) => self.take_decline(backend, "unsent", &detail),
+            SendOutcome::Declined(detail) => self.handle_decline(backend, "declined", &detail),
+            SendOutcome::Unsent(detail) => self.handle_decline(backend, "unsent", &detail),
             SendOutcome::Lost(detail) => {
-                self.note_step(backend, "lost");
+                self.log_attempt(backend, "lost");
                 self.verdict = self.verdict.max(RunVerdict::MayHaveRun);
                 self.detail = format!("{}: {detail}", backend.id);
             }
@@ -320,19 +335,19 @@
         None
     }
 
-    // It did not run there.
-    fn take_decline(&mut self, backend: &BackendInfo, step: &str, detail: &str) {
-        self.note_step(backend, step);
+    // Records a send that did not run.
+    fn handle_decline(&mut self, backend: &BackendInfo, outcome: &str, detail: &str) {
+        self.log_attempt(backend, outcome);
         self.sends -= 1;
         self.declines += 1;
-        self.detail = format!("{} {step}: {detail}", backend.id);
+        self.detail = format!("{} {outcome}: {detail}", backend.id);
     }
 
     fn refusal(&mut self, code: RefusalCode) -> Refusal {
-        if let Some(refusal) = self.refused.take() {
+        if let Some(refusal) = self.final_refusal.take() {
             return refusal;
         }
-        // Whom another server declined is told to come back soon: permits at rate-limited servers may be far between.
+        // Permits may be far apart. So if any server was tried, the request is refused with a shorter `Retry-After` below.
         if let Some(wait) = self.permit_wait
             && self.tried.is_empty()
         {
@@ -351,13 +366,13 @@
                 &self.service,
                 self.verdict,
                 wait,
-                self.call.priority(),
+                self.request.priority(),
             );
         }
         let refusal = Refusal::new(self.verdict, code, self.detail.clone());
         match self.is_unreachable {
-            true => refusal.after(rand::random_range(COME_BACK_UNREACHABLE)),
-            false => refusal.after(COME_BACK),
+            true => refusal.after(rand::random_range(UNREACHABLE_RETRY_AFTER)),
+            false => refusal.after(RETRY_AFTER),
         }
     }
 }
--- a/src/relay/request/prefill.rs
+++ b/src/relay/request/prefill.rs
@@ -1,7 +1,7 @@
-//! Having a prompt's KV cache computed by a prefill engine.
+//! Has a prefill engine compute the KV cache of a prompt.
 
 use {
-    super::{call::RelayCall, guard::CallGuard},
+    super::{client_request::ClientRequest, guard::InFlightGuard},
     crate::{
         operation::RunVerdict,
         relay::{
@@ -15,38 +15,38 @@
     std::{rc::Rc, time::Duration},
 };
 
-/// Longest wait for a prefill beyond its predicted time: the decode engine can then still compute the
-/// prompt itself in time. What is given up so was computed for nothing, so it is not much shorter.
-const PREFILL_PATIENCE: Duration = Duration::from_millis(900);
+/// How much longer than predicted a prefill may take. After that the decode engine can still compute the prompt itself in
+/// time. The limit is not much shorter because the work of an abandoned prefill is wasted.
+const PREFILL_EXTRA_TIME: Duration = Duration::from_millis(900);
 
-/// Predicted wait at the best prefill engine, seconds, from which the decode engine computes the prompt
-/// itself: it takes twice as long, and holds up the answers that it generates meanwhile.
-const OVERFLOW_BACKLOG: f64 = 0.15;
+/// Predicted wait at the best prefill engine, in seconds, from which the decode engine computes the prompt itself. That
+/// takes twice as long and delays the responses that it is generating.
+const MAX_PREFILL_BACKLOG: f64 = 0.15;
 
-/// Bytes that the answer to a prefill may have.
-const ANSWER_LIMIT: usize = 64 << 10;
+/// Maximum body size of a prefill response.
+const MAX_RESPONSE_BYTES: usize = 64 << 10;
 
-/// A KV cache that waits at a prefill engine; freed when dropped.
-pub struct WaitingCache {
+/// A KV cache that waits at a prefill engine for the decode. Freed when dropped.
+pub struct PrefilledCache {
     parts: Rc<RelayParts>,
     /// The prefill engine.
     pub engine: BackendInfo,
     cache: Option<PromptCache>,
 }
 
-impl WaitingCache {
-    /// The cache's name at its engine.
-    pub fn name(&self) -> Option<FastStr> {
+impl PrefilledCache {
+    /// The handle of the cache at its engine.
+    pub fn handle(&self) -> Option<FastStr> {
         self.cache.as_ref().map(|cache| cache.handle.clone())
     }
 
-    /// The cache was taken by a decode engine.
-    pub fn taken(&mut self) {
+    /// Records that a decode engine has fetched the cache, which need not be freed any more.
+    pub fn mark_transferred(&mut self) {
         self.cache = None;
     }
 }
 
-impl Drop for WaitingCache {
+impl Drop for PrefilledCache {
     fn drop(&mut self) {
         if let Some(cache) = self.cache.take() {
             let call = (self.parts.dialect.engines.free_cache)(&cache.handle);
@@ -55,20 +55,20 @@
     }
 }
 
-/// Why there is no KV cache.
+/// Why a prefill produced no KV cache.
 #[derive(Debug)]
 pub struct PrefillFailure {
     /// Whether the prompt may have been computed.
     pub verdict: RunVerdict,
-    /// Whether the engine got the request at all: if so, it counts as a repeat.
-    pub arrived: bool,
+    /// Whether the engine received the request. If so, the failed prefill counts as a retry.
+    pub received: bool,
     /// How the engine failed.
     pub kind: BackendFailure,
-    /// What happened.
+    /// Description for the log.
     pub detail: String,
 }
 
-// Tokens that a prefill engine has to compute for this host, counted until dropped.
+// Counts the prompt tokens that a prefill engine has to compute for this host, until dropped.
 struct PrefillLoad {
     parts: Rc<RelayParts>,
     engine: BackendInfo,
@@ -95,9 +95,10 @@
     }
 }
 
-/// The prefill engine to send to, best near the decode engine's zone; none where the decode engine
-/// would compute the prompt sooner by itself. A rate-limited one has to have a permit for a request of this rank.
-pub fn choose_engine(
+/// Chooses the prefill engine with the shortest predicted wait, preferring `zone`, and returns it with that wait in
+/// seconds. Returns `None` if the decode engine had better compute the prompt itself. Rate-limited engines without a
+/// permit for a request of this rank are skipped.
+pub fn choose_prefill_engine(
     parts: &RelayParts,
     service: &str,
     zone: &str,
@@ -109,34 +110,37 @@
     let mut passed_over = book.without_permit(service, rank, now);
     passed_over.extend_from_slice(tried);
     let best = book.best_prefill(service, zone, &passed_over, now)?;
-    (best.1 < OVERFLOW_BACKLOG).then_some(best)
+    (best.1 < MAX_PREFILL_BACKLOG).then_some(best)
 }
 
-fn predict(parts: &RelayParts, call: &RelayCall, backlog: f64) -> Duration {
-    let own = parts.book.borrow().prefill_time(call.marks.prompt_tokens);
-    Duration::from_secs_f64(backlog + own)
+fn predicted_time(parts: &RelayParts, request: &ClientRequest, backlog: f64) -> Duration {
+    let own_time = parts
+        .book
+        .borrow()
+        .prefill_time(request.marks.prompt_tokens);
+    Duration::from_secs_f64(backlog + own_time)
 }
 
-/// Has the prompt computed.
-pub async fn compute_prompt(
+/// Has a prefill engine compute the prompt, given with its predicted wait in seconds.
+pub async fn prefill_prompt(
     parts: &Rc<RelayParts>,
-    call: &RelayCall,
+    request: &ClientRequest,
     (engine, backlog): (BackendInfo, f64),
-) -> Result<WaitingCache, PrefillFailure> {
-    let _load = PrefillLoad::begin(parts, &engine, call.marks.prompt_tokens);
-    let guard = CallGuard::begin(parts, &engine, call.is_suspected);
-    let began = parts.now();
-    let predicted = predict(parts, call, backlog);
-    let patience = (predicted + PREFILL_PATIENCE).min(call.time_left());
-    let computing = send(parts, call, &engine, &guard);
-    let result = tokio::time::timeout(patience, computing)
+) -> Result<PrefilledCache, PrefillFailure> {
+    let _load = PrefillLoad::begin(parts, &engine, request.marks.prompt_tokens);
+    let guard = InFlightGuard::begin(parts, &engine, request.is_crash_suspect);
+    let started = parts.now();
+    let predicted = predicted_time(parts, request, backlog);
+    let timeout = (predicted + PREFILL_EXTRA_TIME).min(request.time_left());
+    let computing = send(parts, request, &engine, &guard);
+    let result = tokio::time::timeout(timeout, computing)
         .await
         .unwrap_or_else(|_| {
             Err(PrefillFailure {
                 verdict: RunVerdict::MayHaveRun,
-                arrived: true,
+                received: true,
                 kind: BackendFailure::Silent,
-                detail: "no answer in time".into(),
+                detail: "no response in time".into(),
             })
         });
     match &result {
@@ -146,19 +150,19 @@
             book.answered(&engine.id, true);
             parts
                 .metrics
-                .computed(&call.route, now.saturating_sub(began));
-            book.prefill_observed(&engine.id, cache.tokens, now.saturating_sub(began), now);
+                .computed(&request.route, now.saturating_sub(started));
+            book.prefill_observed(&engine.id, cache.tokens, now.saturating_sub(started), now);
         }
         Err(failure) if failure.verdict != RunVerdict::NotRun => {
             parts.note_failure(&engine, failure.kind, &failure.detail);
             if failure.kind == BackendFailure::Broken {
-                guard.settle_break(call).await;
+                guard.await_end_check(request).await;
             }
         }
         Err(_) => {}
     }
     let cache = result?;
-    Ok(WaitingCache {
+    Ok(PrefilledCache {
         parts: parts.clone(),
         engine,
         cache: Some(cache),
@@ -167,57 +171,59 @@
 
 async fn send(
     parts: &Rc<RelayParts>,
-    call: &RelayCall,
+    request: &ClientRequest,
     engine: &BackendInfo,
-    guard: &CallGuard,
+    guard: &InFlightGuard,
 ) -> Result<PromptCache, PrefillFailure> {
     let dialect = &parts.dialect;
-    let request = call.request_to(engine, dialect, dialect.engines.prepare_prefill);
-    let sent = parts.send_to(engine, PoolUse::Prefill, request, None).await;
-    let answer = sent.map_err(|failure| {
+    let outgoing = request.backend_request(engine, dialect, dialect.engines.prepare_prefill);
+    let sent = parts
+        .send_to(engine, PoolUse::Prefill, outgoing, None)
+        .await;
+    let response = sent.map_err(|failure| {
         if failure.verdict == RunVerdict::NotRun {
             parts.note_send_failure(engine, &failure);
         }
         PrefillFailure {
             verdict: failure.verdict,
-            arrived: failure.verdict != RunVerdict::NotRun,
-            // Only looked at where the engine may have got the request.
+            received: failure.verdict != RunVerdict::NotRun,
+            // Only used if the engine may have received the request.
             kind: failure.kind().unwrap_or(BackendFailure::Broken),
             detail: failure.detail,
         }
     })?;
     let (status, marks) = (
-        answer.status,
-        (dialect.read_response)(answer.status, &answer.headers),
+        response.status,
+        (dialect.read_response)(response.status, &response.headers),
     );
-    guard.note_marks(status, &marks);
-    let body = answer.body.read(ANSWER_LIMIT).await;
+    guard.record_response(status, &marks);
+    let body = response.body.read(MAX_RESPONSE_BYTES).await;
     let body = body.map_err(|detail| PrefillFailure {
         verdict: RunVerdict::MayHaveRun,
-        arrived: true,
+        received: true,
         kind: BackendFailure::Broken,
         detail,
     })?;
     if marks.not_run {
         parts.note_decline(engine, status);
-        // A backoff says nothing of the time after it.
+        // A decline during a backoff says nothing about the time after it.
         if parts.may_send(engine, None) {
             parts.book.borrow_mut().declined(&engine.id, parts.now());
         }
         return Err(PrefillFailure {
             verdict: RunVerdict::NotRun,
-            arrived: true,
+            received: true,
             kind: BackendFailure::Broken,
             detail: format!("declined with status {status}"),
         });
     }
-    let is_ours = !marks.is_for_other_request(&call.marks.id);
+    let is_ours = !marks.is_for_other_request(&request.marks.id);
     let cache =
         (dialect.engines.read_prefill)(&body).filter(|_| is_ours && status == StatusCode::OK);
     cache.ok_or_else(|| PrefillFailure {
         verdict: RunVerdict::MayHaveRun,
-        arrived: true,
+        received: true,
         kind: BackendFailure::Broken,
-        detail: format!("unusable answer, status {status}"),
+        detail: format!("unusable response with status {status}"),
     })
 }
--- a/src/relay/request/reserve.rs
+++ b/src/relay/request/reserve.rs
@@ -1,7 +1,7 @@
-//! Waiting for memory at a decode engine, and reserving it.
+//! Reserves KV memory at a decode engine, and queues requests until some is free.
 
 use {
-    super::call::RelayCall,
+    super::client_request::ClientRequest,
     crate::{
         engine::EngineRole,
         operation::{Refusal, RefusalCode, RunVerdict},
@@ -22,33 +22,33 @@
     std::{rc::Rc, time::Duration},
 };
 
-/// Longest wait for the answer to a reservation; engines answer these at once.
-const HOLD_PATIENCE: Duration = Duration::from_millis(120);
+/// Timeout of a reservation call; engines respond to these at once.
+const RESERVE_TIMEOUT: Duration = Duration::from_millis(120);
 
-/// How long memory is reserved: the prefill and the way to the engine fit into it.
-const HOLD_TIME: Duration = Duration::from_millis(1_500);
+/// Lifetime of a reservation. It covers the prefill and the time until the decode reaches the engine.
+const RESERVATION_LIFETIME: Duration = Duration::from_millis(1_500);
 
-/// Engines asked for memory before the request waits for some to become free.
-const HOLD_TRIES: usize = 9;
+/// Number of engines asked for memory before the request waits until some is free.
+const MAX_ENGINES_ASKED: usize = 9;
 
-/// How long headroom is reserved while a request's own memory is asked for.
-const HEADROOM_TIME: Duration = Duration::from_millis(300);
+/// Lifetime of the headroom reservation that is held while the request's own memory is reserved.
+const HEADROOM_LIFETIME: Duration = Duration::from_millis(300);
 
-/// Pause between two rounds of asking while nothing is known to have become free.
-const ROUND_PAUSE: Duration = Duration::from_millis(25);
+/// Pause before engines are asked again while no memory is known to have been released.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Least memory that is reserved for a stream that goes on where its prompt is kept: some events.
-const LACKED_LEAST: u64 = 128;
+/// Minimum reservation for a resumed stream at an engine that has its prompt cached; room for some events.
+const MIN_UNCACHED_TOKENS: u64 = 128;
 
-/// A reservation as its engine knows it; given back when dropped.
-struct EngineHold {
+/// A reservation at an engine, released when dropped.
+struct EngineReservation {
     parts: Rc<RelayParts>,
     engine: BackendInfo,
-    // What it is called there; none once it was used.
+    // Its name at the engine; `None` once it was used.
     name: Option<FastStr>,
 }
 
-impl Drop for EngineHold {
+impl Drop for EngineReservation {
     fn drop(&mut self) {
         if let Some(name) = self.name.take() {
             let call = (self.parts.dialect.engines.release_memory)(&name);
@@ -57,22 +57,22 @@
     }
 }
 
-/// Memory at a decode engine, reserved for one request; given back when dropped.
-pub struct MemoryHold {
+/// KV memory reserved at a decode engine for one request, with the permit to send it there. Released when dropped.
+pub struct MemoryReservation {
     parts: Rc<RelayParts>,
-    /// The engine.
+    /// The decode engine.
     pub engine: BackendInfo,
     /// When the memory was reserved.
     pub reserved_at: Duration,
-    hold: EngineHold,
-    // Leave to send the request there; none once it was used.
+    reservation: EngineReservation,
+    // Permit to send the request to the engine; `None` once it was used.
     permit: Option<ServerPermit>,
     tokens: u64,
 }
 
-impl MemoryHold {
-    fn new(hold: EngineHold, permit: ServerPermit, tokens: u64) -> Self {
-        let (parts, engine) = (hold.parts.clone(), hold.engine.clone());
+impl MemoryReservation {
+    fn new(reservation: EngineReservation, permit: ServerPermit, tokens: u64) -> Self {
+        let (parts, engine) = (reservation.parts.clone(), reservation.engine.clone());
         let mut book = parts.book.borrow_mut();
         book.answered(&engine.id, true);
         book.memory_taken(&engine.id, tokens);
@@ -81,22 +81,22 @@
             reserved_at: parts.now(),
             parts,
             engine,
-            hold,
+            reservation,
             permit: Some(permit),
             tokens,
         }
     }
 
-    /// The name of the reservation, to be used now with the request's permit at the engine.
+    /// Uses up the permit and returns the name of the reservation, for the decode that is sent now.
     pub fn use_up(&mut self) -> Option<FastStr> {
         if let Some(permit) = self.permit.take() {
             permit.use_up();
         }
-        self.hold.name.take()
+        self.reservation.name.take()
     }
 }
 
-impl Drop for MemoryHold {
+impl Drop for MemoryReservation {
     fn drop(&mut self) {
         let mut book = self.parts.book.borrow_mut();
         if book.is_current(&self.engine) {
@@ -107,22 +107,22 @@
     }
 }
 
-// A place in the line; left when dropped.
-struct LinePlace {
+// A place in the queue for memory, given up when dropped.
+struct QueuePlace {
     parts: Rc<RelayParts>,
     key: LineKey,
     entrant: LineEntrant,
 }
 
-impl LinePlace {
-    fn join(parts: &Rc<RelayParts>, call: &RelayCall) -> Self {
+impl QueuePlace {
+    fn join(parts: &Rc<RelayParts>, request: &ClientRequest) -> Self {
         let mut line = parts.line.borrow_mut();
         let entrant = LineEntrant {
-            arrived: call.arrived,
-            waited: call.waited,
-            target: call.route.latency_target,
-            priority: call.priority(),
-            tokens: call.marks.prompt_tokens + call.marks.answer_hint.unwrap_or_default(),
+            arrived: request.received_at,
+            waited: request.prior_wait,
+            target: request.route.latency_target,
+            priority: request.priority(),
+            tokens: request.marks.prompt_tokens + request.marks.answer_hint.unwrap_or_default(),
         };
         let key = entrant.key(line.ticket(), parts.now());
         line.place(None, key);
@@ -137,8 +137,9 @@
         self.parts.line.borrow().ahead(&self.key) == 0
     }
 
-    // Who can no longer be in time lets those go first who can.
-    fn update(&mut self) {
+    // Reorders the queue by the time that has passed: a request that can no longer meet its latency target lets those
+    // pass that can.
+    fn update_order(&mut self) {
         let key = self.entrant.key(self.key.ticket, self.parts.now());
         if key != self.key {
             self.parts.line.borrow_mut().place(Some(self.key), key);
@@ -147,45 +148,49 @@
     }
 }
 
-impl Drop for LinePlace {
+impl Drop for QueuePlace {
     fn drop(&mut self) {
         self.parts.line.borrow_mut().leave(&self.key);
         self.parts.freed.notify_waiters();
     }
 }
 
-/// Waits for memory at a decode engine of the service and reserves it; the wait counts from `since`, the
-/// request's arrival or the moment its stream broke. An engine that keeps the prompt is asked before the others,
-/// and for no more than it lacks: memory for the whole would drive out what others' streams find there.
-/// A stream that goes on waits also where all engines take no new requests for now: its caller has part of the answer.
-pub async fn reserve(
+/// Waits for memory at a decode engine of the service and reserves it. The wait is limited from `since`, the request's
+/// arrival or the time at which its stream was interrupted.
+///
+/// An engine that has the prompt cached is asked first, and only for the memory that the cache does not cover: a
+/// reservation for the whole request would evict prompts that other streams can resume from.
+///
+/// A resumed stream also waits while no engine takes new requests, because its client already has part of the response.
+pub async fn reserve_memory(
     parts: &Rc<RelayParts>,
-    call: &RelayCall,
+    request: &ClientRequest,
     service: &str,
     since: Duration,
-    goes_on: bool,
-    kept: Option<&KeptAt>,
-) -> Result<MemoryHold, Refusal> {
-    let tokens = admission::reserved_tokens(&call.marks);
-    let rank = call.priority();
-    let give_up = call.until.min(since + admission::WAIT_LIMIT);
-    let mut place = LinePlace::join(parts, call);
+    is_resumed: bool,
+    cached: Option<&KeptAt>,
+) -> Result<MemoryReservation, Refusal> {
+    let tokens = admission::reserved_tokens(&request.marks);
+    let rank = request.priority();
+    let wait_until = request.deadline.min(since + admission::WAIT_LIMIT);
+    let mut place = QueuePlace::join(parts, request);
     loop {
         let freed = parts.freed.notified();
         tokio::pin!(freed);
         freed.as_mut().enable();
         if place.is_first()
-            && let Some(hold) = ask_round(parts, call, service, kept, place.key.late).await
+            && let Some(reservation) =
+                try_engines(parts, request, service, cached, place.key.late).await
         {
-            parts.metrics.reserved(&call.route, call.age());
-            return Ok(hold);
+            parts.metrics.reserved(&request.route, request.age());
+            return Ok(reservation);
         }
         let decode = Some(EngineRole::Decode);
         let wait = parts
             .book
             .borrow()
             .rotation_wait(service, decode, parts.now());
-        if let Some(wait) = wait.filter(|_| !goes_on) {
+        if let Some(wait) = wait.filter(|_| !is_resumed) {
             let service = FastStr::new(service);
             return Err(parts.out_of_rotation(&service, RunVerdict::NotRun, wait, rank));
         }
@@ -194,39 +199,43 @@
             let service = FastStr::new(service);
             return Err(parts.permit_denied(&service, RunVerdict::NotRun, wait));
         }
-        let left = give_up.saturating_sub(parts.now());
+        let left = wait_until.saturating_sub(parts.now());
         tokio::select! {
             () = freed => {}
-            () = tokio::time::sleep(ROUND_PAUSE.min(left)) => {}
+            () = tokio::time::sleep(POLL_INTERVAL.min(left)) => {}
         }
-        if parts.now() >= give_up {
-            return Err(no_room(parts, service, tokens));
+        if parts.now() >= wait_until {
+            return Err(out_of_memory(parts, service, tokens));
         }
-        place.update();
+        place.update_order();
     }
 }
 
-fn no_room(parts: &RelayParts, service: &str, tokens: u64) -> Refusal {
+fn out_of_memory(parts: &RelayParts, service: &str, tokens: u64) -> Refusal {
     let memory = engine_limits(parts, service).map(|limits| limits.memory_tokens);
     let book = parts.book.borrow();
     let room = DecodeRoom::of(&book, service, tokens, memory, parts.now());
-    let text = format!("no decode engine has memory for this request: {room}");
+    let text = format!("no decode engine has enough memory for this request: {room}");
     Refusal::not_run(RefusalCode::Overloaded, text).after(rand::random_range(admission::COME_BACK))
 }
 
-async fn ask_round(
+async fn try_engines(
     parts: &Rc<RelayParts>,
-    call: &RelayCall,
+    request: &ClientRequest,
     service: &str,
-    kept: Option<&KeptAt>,
+    cached: Option<&KeptAt>,
     is_late: bool,
-) -> Option<MemoryHold> {
-    let tokens = admission::reserved_tokens(&call.marks);
-    let rank = call.priority();
-    if let Some(kept) = kept {
-        let lacked = tokens.saturating_sub(kept.tokens).max(LACKED_LEAST);
-        if let Some(hold) = ask_beside(parts, kept.engine.clone(), rank, lacked, 0).await {
-            return Some(hold);
+) -> Option<MemoryReservation> {
+    let tokens = admission::reserved_tokens(&request.marks);
+    let rank = request.priority();
+    if let Some(cached) = cached {
+        let uncached = tokens
+            .saturating_sub(cached.tokens)
+            .max(MIN_UNCACHED_TOKENS);
+        if let Some(reservation) =
+            reserve_with_headroom(parts, cached.engine.clone(), rank, uncached, 0).await
+        {
+            return Some(reservation);
         }
     }
     let now = parts.now();
@@ -240,32 +249,34 @@
         engines
     };
     let headroom = memory.map_or(0, |memory| admission::headroom(memory, tokens, is_late));
-    for engine in engines.into_iter().take(HOLD_TRIES) {
-        if let Some(hold) = ask_beside(parts, engine, rank, tokens, headroom).await {
-            return Some(hold);
+    for engine in engines.into_iter().take(MAX_ENGINES_ASKED) {
+        if let Some(reservation) =
+            reserve_with_headroom(parts, engine, rank, tokens, headroom).await
+        {
+            return Some(reservation);
         }
     }
     None
 }
 
-// Memory for a request where as much again as `headroom` is free. That is seen by reserving it, for as long
-// as the request's own memory is asked for. Where the engine is rate-limited the request's permit there is taken first: memory
-// without a permit would be held for nobody.
-async fn ask_beside(
+// Reserves memory at an engine that has `headroom` free in addition. That is tested by reserving the headroom as well
+// until the request's own memory is reserved. At a rate-limited engine the permit is taken first: without one, the
+// memory would be reserved for a request that cannot be sent.
+async fn reserve_with_headroom(
     parts: &Rc<RelayParts>,
     engine: BackendInfo,
     rank: u8,
     tokens: u64,
     headroom: u64,
-) -> Option<MemoryHold> {
+) -> Option<MemoryReservation> {
     let permit = parts.take_permit(&engine, rank).await.ok()?;
-    let beside = match headroom {
+    let headroom_reservation = match headroom {
         0 => None,
-        _ => Some(ask(parts, &engine, headroom, HEADROOM_TIME).await?),
+        _ => Some(reserve_at(parts, &engine, headroom, HEADROOM_LIFETIME).await?),
     };
-    let hold = ask(parts, &engine, tokens, HOLD_TIME).await;
-    drop(beside);
-    Some(MemoryHold::new(hold?, permit, tokens))
+    let reservation = reserve_at(parts, &engine, tokens, RESERVATION_LIFETIME).await;
+    drop(headroom_reservation);
+    Some(MemoryReservation::new(reservation?, permit, tokens))
 }
 
 fn engine_limits(parts: &RelayParts, service: &str) -> Option<EngineLimits> {
@@ -273,24 +284,24 @@
     service.engine.clone()
 }
 
-// Operators bound how long memory may be reserved.
-fn bounded_time(parts: &RelayParts, engine: &BackendInfo, wanted: Duration) -> Duration {
+// Limits the lifetime of a reservation to the maximum that operators set.
+fn limit_lifetime(parts: &RelayParts, engine: &BackendInfo, wanted: Duration) -> Duration {
     let limits = engine_limits(parts, &engine.service);
     limits.map_or(wanted, |limits| wanted.min(limits.hold_limit))
 }
 
-async fn ask(
+async fn reserve_at(
     parts: &Rc<RelayParts>,
     engine: &BackendInfo,
     tokens: u64,
-    time: Duration,
-) -> Option<EngineHold> {
+    lifetime: Duration,
+) -> Option<EngineReservation> {
     let engines = &parts.dialect.engines;
-    let call = (engines.reserve_memory)(tokens, bounded_time(parts, engine, time));
-    let answer = parts.call_backend(engine, call, HOLD_PATIENCE).await;
-    let name = match answer {
+    let call = (engines.reserve_memory)(tokens, limit_lifetime(parts, engine, lifetime));
+    let response = parts.call_backend(engine, call, RESERVE_TIMEOUT).await;
+    let name = match response {
         Ok((StatusCode::OK, body)) => (engines.read_reservation)(&body),
-        // What it says of itself is noted already.
+        // The engine takes no new requests, as its response announced and is recorded already; it need not lack memory.
         Ok((StatusCode::SERVICE_UNAVAILABLE, _)) if !parts.may_send(engine, None) => return None,
         Ok((StatusCode::SERVICE_UNAVAILABLE, _)) => None,
         Ok((status, _)) => {
@@ -307,7 +318,7 @@
         book.refused(&engine.id, tokens, parts.now());
         return None;
     }
-    Some(EngineHold {
+    Some(EngineReservation {
         parts: parts.clone(),
         engine: engine.clone(),
         name,
--- a/src/relay/request/resume.rs
+++ b/src/relay/request/resume.rs
@@ -1,12 +1,12 @@
-//! Streams that another engine may go on with: whole events are passed on, and where they stop the rest
-//! comes from elsewhere.
+//! Resumable streams: only whole events are forwarded, and when a stream is lost or stalls, another engine continues
+//! after the last of them.
 
 use {
     super::{
-        chunks::ChunkEnd,
-        events::EventSplitter,
-        reserve::{self, MemoryHold},
-        stream::{RunningStream, StreamRelay},
+        event_splitter::EventSplitter,
+        forward::StreamEnd,
+        reserve::{self, MemoryReservation},
+        stream::{DecodeStream, StreamRelay},
     },
     crate::web::BrokenBody,
     bytes::Bytes,
@@ -17,38 +17,38 @@
     tokio::time::Instant,
 };
 
-/// Silence within a stream after which memory for it is sought elsewhere. Engines put requests back when
-/// their memory runs out and go on within a second or two; callers wait some seconds.
-const SILENCE_LIMIT: Duration = Duration::from_millis(1_200);
+/// Time without data after which memory for the stream is sought at other engines. Engines preempt requests when their
+/// memory runs out and continue them within a second or two; clients wait some seconds.
+const STALL_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// Pause before memory is sought again where no repeat was allowed.
-const REPEAT_PAUSE: Duration = Duration::from_millis(100);
+/// Pause before memory is sought again after the retry budget or all engines refused.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What came of a running stream.
+/// The next step of a running stream.
 enum StreamStep {
     Chunk(Bytes),
-    /// Its orderly end.
+    /// The stream ended regularly.
     End,
-    /// The connection broke off.
-    Broke(String),
-    /// Nothing came, and memory for it is reserved elsewhere.
-    Movable(Box<MemoryHold>),
-    /// The caller's time is over.
+    /// The connection was lost.
+    Broken(String),
+    /// No data arrived, and memory is reserved at an engine to continue at.
+    Stalled(Box<MemoryReservation>),
+    /// The deadline has passed.
     TimeLimit,
 }
 
-/// Passes whole events on as they come; after a break the rest comes from another engine.
-pub(super) fn resumable_chunks(
+/// Forwards whole events as they arrive. Resumes the stream at another engine if its connection is lost or it stalls.
+pub(super) fn resumable_body(
     mut relay: StreamRelay,
-    mut running: RunningStream,
+    mut running: DecodeStream,
 ) -> impl Stream<Item = Result<Bytes, BrokenBody>> {
     async_stream::stream! {
         let mut splitter = EventSplitter::default();
         loop {
-            let (broke, hold) = match next_step(&mut relay, &mut running).await {
+            let (cause, reservation) = match next_step(&mut relay, &mut running).await {
                 StreamStep::Chunk(chunk) => {
                     if let Some(events) = splitter.push(&chunk) {
-                        relay.pace.passed(Instant::now());
+                        relay.event_gaps.record(Instant::now());
                         yield Ok(events);
                     }
                     continue;
@@ -57,7 +57,7 @@
                     if let Some(rest) = splitter.take_rest() {
                         yield Ok(rest);
                     }
-                    relay.note_end(&running.held.guard, ChunkEnd::Whole);
+                    relay.record_end(&running.guards.guard, StreamEnd::Complete);
                     relay.log_end("whole");
                     return;
                 }
@@ -66,26 +66,28 @@
                     yield Err(BrokenBody("the time limit was reached".into()));
                     return;
                 }
-                StreamStep::Broke(why) => {
-                    running.held.guard.settle_break(&relay.call).await;
+                StreamStep::Broken(why) => {
+                    running.guards.guard.await_end_check(&relay.request).await;
                     (why, None)
                 }
-                StreamStep::Movable(hold) => ("the engine fell silent".to_owned(), Some(*hold)),
+                StreamStep::Stalled(reservation) => {
+                    ("the engine stopped sending events".to_owned(), Some(*reservation))
+                },
             };
-            // Closes the connection, on which the engine stops, before another one begins.
+            // Closing the connection stops the engine before another one starts.
             drop(running);
             splitter.drop_rest();
-            let after = splitter.last_id().map(FastStr::new);
-            match relay.resume(after, hold).await {
+            let last_event = splitter.last_id().map(FastStr::new);
+            match relay.resume(last_event, reservation).await {
                 Ok(next) if next.status == StatusCode::OK => running = next,
                 Ok(next) => {
                     relay.log_end("broken");
-                    yield Err(BrokenBody(format!("{broke}; then status {}", next.status)));
+                    yield Err(BrokenBody(format!("{cause}; resuming failed with status {}", next.status)));
                     return;
                 }
                 Err(refusal) => {
                     relay.log_end("broken");
-                    yield Err(BrokenBody(format!("{broke}; then {refusal}")));
+                    yield Err(BrokenBody(format!("{cause}; resuming failed: {refusal}")));
                     return;
                 }
             }
@@ -93,17 +95,17 @@
     }
 }
 
-// An engine that is silent may go on by itself: its stream is only left once there is memory elsewhere and
-// the repeat is allowed.
-async fn next_step(relay: &mut StreamRelay, running: &mut RunningStream) -> StreamStep {
-    let patience = SILENCE_LIMIT.min(relay.call.time_left());
-    if let Ok(next) = tokio::time::timeout(patience, running.body.chunk()).await {
-        return step_of(next);
+// A stalled engine may continue by itself, so its stream is left only once memory is reserved at an engine and the retry
+// budget allows it.
+async fn next_step(relay: &mut StreamRelay, running: &mut DecodeStream) -> StreamStep {
+    let timeout = STALL_TIMEOUT.min(relay.request.time_left());
+    if let Ok(next) = tokio::time::timeout(timeout, running.body.chunk()).await {
+        return stream_step(next);
     }
-    while !relay.call.time_left().is_zero() {
-        let seeking = reserve::reserve(
+    while !relay.request.time_left().is_zero() {
+        let reserving = reserve::reserve_memory(
             &relay.parts,
-            &relay.call,
+            &relay.request,
             &relay.service,
             relay.parts.now(),
             true,
@@ -111,14 +113,14 @@
         );
         tokio::select! {
             biased;
-            next = running.body.chunk() => return step_of(next),
-            reserved = seeking => match reserved {
-                Ok(hold) if relay.pay_repeat() => return StreamStep::Movable(Box::new(hold)),
-                Ok(_) => tokio::time::sleep(REPEAT_PAUSE).await,
-                // Refused at once where no engine may be asked, so that it is not the wait for memory that paces the asking.
+            next = running.body.chunk() => return stream_step(next),
+            reserved = reserving => match reserved {
+                Ok(reservation) if relay.count_retry() => return StreamStep::Stalled(Box::new(reservation)),
+                Ok(_) => tokio::time::sleep(RETRY_DELAY).await,
+                // A refusal may come at once, without the wait for memory, if no engine may be asked.
                 Err(refusal) => {
-                    log::debug!("a silent stream stays where it is: {refusal}");
-                    tokio::time::sleep(REPEAT_PAUSE).await;
+                    log::debug!("no engine to move a stalled stream to: {refusal}");
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
             }
         }
@@ -126,10 +128,12 @@
     StreamStep::TimeLimit
 }
 
-fn step_of(next: Option<Result<Bytes, hyper::Error>>) -> StreamStep {
+fn stream_step(next: Option<Result<Bytes, hyper::Error>>) -> StreamStep {
     match next {
         Some(Ok(chunk)) => StreamStep::Chunk(chunk),
         None => StreamStep::End,
-        Some(Err(error)) => StreamStep::Broke(format!("the engine broke off: {error}")),
+        Some(Err(error)) => {
+            StreamStep::Broken(format!("the connection to the engine was lost: {error}"))
+        }
     }
 }
--- a/src/relay/request/seek.rs
+++ b/src/relay/request/seek.rs
@@ -1,4 +1,4 @@
-//! Asking decode engines which of them keeps the prompt of a stream that is to go on.
+//! Finds the decode engine that still has the prompt of a resumed stream in its cache.
 
 use {
     crate::relay::{backend::BackendInfo, parts::shared::RelayParts, policy::kept::KeptAt},
@@ -7,23 +7,33 @@
     std::{rc::Rc, time::Duration},
 };
 
-/// Longest wait for an engine to tell what it keeps; engines answer at once.
-const NEWS_PATIENCE: Duration = Duration::from_millis(120);
+/// Timeout of a query for an engine's cache contents; engines respond at once.
+const CACHE_QUERY_TIMEOUT: Duration = Duration::from_millis(120);
 
-/// Engines asked at once at most. Zones of today's deployments have up to 24 decode engines; of a larger zone, and of
-/// many engines in other zones, the first by id are asked.
-const ENGINES_MAX: usize = 24;
+/// Maximum number of engines queried at once. Zones of current deployments have up to 24 decode engines. Of a larger zone,
+/// and of the engines in all other zones, the first by id are queried.
+const MAX_ENGINES_QUERIED: usize = 24;
 
-/// The decode engine that keeps most of a part of a prompt, of those that answer; the host's own zone first.
-pub async fn find_kept(parts: &Rc<RelayParts>, service: &str, part: &str) -> Option<KeptAt> {
+/// Finds the decode engine that has most of the prompt `part` cached. The host's own zone is queried first, the other
+/// zones only if none there has it.
+pub async fn find_cached_prompt(
+    parts: &Rc<RelayParts>,
+    service: &str,
+    part: &str,
+) -> Option<KeptAt> {
     let engines = parts.book.borrow().decode_engines(service, parts.now());
     let zone = &parts.settings.zone;
     let (near, far): (Vec<_>, Vec<_>) =
         engines.into_iter().partition(|engine| engine.zone == *zone);
     for engines in [near, far] {
-        let asked: Vec<BackendInfo> = engines.into_iter().take(ENGINES_MAX).collect();
-        future::join_all(asked.iter().map(|engine| hear(parts, engine))).await;
-        let found = parts.kept.borrow().best_of(&asked, part);
+        let queried: Vec<BackendInfo> = engines.into_iter().take(MAX_ENGINES_QUERIED).collect();
+        future::join_all(
+            queried
+                .iter()
+                .map(|engine| refresh_cache_state(parts, engine)),
+        )
+        .await;
+        let found = parts.kept.borrow().best_of(&queried, part);
         if found.is_some() {
             return found;
         }
@@ -31,24 +41,24 @@
     None
 }
 
-// Has an engine tell what it keeps, unless it did so a moment ago.
-async fn hear(parts: &Rc<RelayParts>, engine: &BackendInfo) {
-    let Some(question) = parts.kept.borrow().question(&engine.id, parts.now()) else {
+// Queries an engine for its cache contents unless they are known from a moment ago.
+async fn refresh_cache_state(parts: &Rc<RelayParts>, engine: &BackendInfo) {
+    let Some(query) = parts.kept.borrow().question(&engine.id, parts.now()) else {
         return;
     };
     let engines = &parts.dialect.engines;
-    let call = (engines.query_cache)(question);
-    match parts.call_backend(engine, call, NEWS_PATIENCE).await {
+    let call = (engines.query_cache)(query);
+    match parts.call_backend(engine, call, CACHE_QUERY_TIMEOUT).await {
         Ok((StatusCode::OK, body)) => {
-            let news = (engines.read_cache)(question, &body);
+            let update = (engines.read_cache)(query, &body);
             let mut kept = parts.kept.borrow_mut();
-            match news {
-                Some(news) => kept.take(&engine.id, news, parts.now()),
+            match update {
+                Some(update) => kept.take(&engine.id, update, parts.now()),
                 None => kept.forget(&engine.id),
             }
         }
-        Ok((status, _)) => log::debug!("{} tells nothing of its cache: {status}", engine.id),
-        // The reservation that follows shows whether the engine is to blame.
-        Err(failure) => log::debug!("{} tells nothing of its cache: {failure}", engine.id),
+        Ok((status, _)) => log::debug!("cache query to {} returned status {status}", engine.id),
+        // Not counted against the engine; if it is faulty, the reservation that follows shows it.
+        Err(failure) => log::debug!("cache query to {} failed: {failure}", engine.id),
     }
 }
--- a/src/relay/request/send.rs
+++ b/src/relay/request/send.rs
@@ -1,7 +1,7 @@
-//! One send of a request to a backend server of a plain service, and what became of it.
+//! Sends a request to one backend server of a plain service and classifies the outcome.
 
 use {
-    super::{call::RelayCall, guard::CallGuard},
+    super::{client_request::ClientRequest, guard::InFlightGuard},
     crate::{
         operation::RunVerdict,
         relay::{backend::BackendInfo, parts::shared::RelayParts, policy::view::BackendFailure},
@@ -12,103 +12,103 @@
     std::rc::Rc,
 };
 
-/// Bytes that an answer may have that is read whole.
-const ANSWER_LIMIT: usize = 8 << 20;
+/// Maximum size of a response body that is buffered.
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
-/// A plain answer.
-pub(super) struct PlainAnswer {
+/// The response of a plain service.
+pub(super) struct PlainResponse {
     pub(super) status: StatusCode,
     pub(super) headers: HeaderMap,
     pub(super) body: PlainBody,
 }
 
-/// The body of a plain answer.
+/// The body of a plain response.
 pub(super) enum PlainBody {
-    /// It is all there.
-    Whole(Bytes),
-    /// A stream, passed on as it comes; it counts as in progress meanwhile.
-    Running(PooledBody, CallGuard),
+    /// Fully buffered.
+    Full(Bytes),
+    /// Forwarded as it arrives; the request counts as in progress meanwhile.
+    Streaming(PooledBody, InFlightGuard),
 }
 
-/// What became of one send.
+/// The outcome of one send.
 pub(super) enum SendOutcome {
-    Answered(Box<PlainAnswer>),
-    /// The server got it and did not run it.
+    Responded(Box<PlainResponse>),
+    /// The server received the request and did not run it.
     Declined(String),
-    /// Nothing of it was written: the server never got it.
+    /// No byte was written, so the server never received the request.
     Unsent(String),
-    /// It may have run and there is no answer.
+    /// There is no usable response, and the request may have run.
     Lost(String),
 }
 
-/// Sends a request and waits for its answer: whole, or the head of a stream.
+/// Sends a request and waits for its full response, or for the head of a streamed one.
 pub(super) async fn send_plain(
     parts: Rc<RelayParts>,
-    call: Rc<RelayCall>,
+    request: Rc<ClientRequest>,
     backend: BackendInfo,
 ) -> (BackendInfo, SendOutcome) {
-    let outcome = outcome_of(&parts, &call, &backend).await;
+    let outcome = try_send(&parts, &request, &backend).await;
     (backend, outcome)
 }
 
-async fn outcome_of(
+async fn try_send(
     parts: &Rc<RelayParts>,
-    call: &RelayCall,
+    request: &ClientRequest,
     backend: &BackendInfo,
 ) -> SendOutcome {
-    let guard = CallGuard::begin(parts, backend, call.is_suspected);
-    let request = call.request_to(backend, &parts.dialect, |_| ());
-    let sent = parts.send_to(backend, PoolUse::Plain, request, None).await;
-    let answer = match sent {
-        Ok(answer) => answer,
+    let guard = InFlightGuard::begin(parts, backend, request.is_crash_suspect);
+    let outgoing = request.backend_request(backend, &parts.dialect, |_| ());
+    let sent = parts.send_to(backend, PoolUse::Plain, outgoing, None).await;
+    let response = match sent {
+        Ok(response) => response,
         Err(failure) => {
             parts.note_send_failure(backend, &failure);
             if failure.verdict == RunVerdict::NotRun {
                 return SendOutcome::Unsent(failure.detail);
             }
             if failure.is_break() {
-                guard.settle_break(call).await;
+                guard.await_end_check(request).await;
             }
             return SendOutcome::Lost(failure.detail);
         }
     };
-    let marks = (parts.dialect.read_response)(answer.status, &answer.headers);
-    guard.note_marks(answer.status, &marks);
-    if marks.is_for_other_request(&call.marks.id) {
-        let detail = "an answer to another request came";
+    let marks = (parts.dialect.read_response)(response.status, &response.headers);
+    guard.record_response(response.status, &marks);
+    if marks.is_for_other_request(&request.marks.id) {
+        let detail = "response to another request";
         parts.note_failure(backend, BackendFailure::Broken, detail);
         return SendOutcome::Lost(detail.into());
     }
-    if call.route.kind.is_stream() && answer.status.is_success() {
-        return SendOutcome::Answered(Box::new(running(answer, guard)));
+    if request.route.kind.is_stream() && response.status.is_success() {
+        return SendOutcome::Responded(Box::new(streaming_response(response, guard)));
     }
-    let outcome = read_whole(parts, backend, answer, marks.not_run).await;
+    let outcome = read_full(parts, backend, response, marks.not_run).await;
     if matches!(outcome, SendOutcome::Lost(_)) {
-        guard.settle_break(call).await;
+        guard.await_end_check(request).await;
     }
     outcome
 }
 
-fn running(answer: PooledAnswer, guard: CallGuard) -> PlainAnswer {
-    PlainAnswer {
-        status: answer.status,
-        headers: answer.headers,
-        body: PlainBody::Running(answer.body, guard),
+fn streaming_response(response: PooledAnswer, guard: InFlightGuard) -> PlainResponse {
+    PlainResponse {
+        status: response.status,
+        headers: response.headers,
+        body: PlainBody::Streaming(response.body, guard),
     }
 }
 
-async fn read_whole(
+async fn read_full(
     parts: &RelayParts,
     backend: &BackendInfo,
-    answer: PooledAnswer,
+    response: PooledAnswer,
     not_run: bool,
 ) -> SendOutcome {
-    let (status, headers) = (answer.status, answer.headers);
-    let body = match answer.body.read(ANSWER_LIMIT).await {
+    let (status, headers) = (response.status, response.headers);
+    let body = match response.body.read(MAX_RESPONSE_BYTES).await {
         Ok(body) => body,
         Err(detail) => {
             parts.note_failure(backend, BackendFailure::Broken, &detail);
-            return SendOutcome::Lost(format!("answer cut short: {detail}"));
+            return SendOutcome::Lost(format!("response body cut short: {detail}"));
         }
     };
     if not_run {
@@ -117,9 +117,9 @@
         parts.book.borrow_mut().turned_away(&backend.id, now);
         return SendOutcome::Declined(format!("status {status}"));
     }
-    SendOutcome::Answered(Box::new(PlainAnswer {
+    SendOutcome::Responded(Box::new(PlainResponse {
         status,
         headers,
-        body: PlainBody::Whole(body),
+        body: PlainBody::Full(body),
     }))
 }
--- /dev/null
+++ b/src/relay/request/send_check.rs
@@ -0,0 +1,109 @@
+//! Checks before a request is sent to a backend server: its deadline, its API key, and whether it is known to crash
+//! the servers that run it.
+
+use {
+    super::client_request::ClientRequest,
+    crate::{
+        operation::{Refusal, RefusalCode, RunVerdict},
+        relay::{parts::shared::RelayParts, policy::crash_record::CrashJudgement},
+    },
+    faststr::FastStr,
+    std::time::Duration,
+};
+
+/// Upper limit of `Retry-After` for a request that crashes its servers: the next version of the servers may handle
+/// the request.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
+
+/// `Retry-After` for a request that is due for a trial while the host that grants trials does not allow one.
+const TRIAL_RETRY_AFTER: Duration = Duration::from_secs(5);
+
+/// Admits a request unless it is known to crash its servers. One that is due for a trial is admitted if the host that
+/// grants trials allows it.
+pub(super) async fn admit(
+    parts: &RelayParts,
+    request: ClientRequest,
+    service: &FastStr,
+) -> Result<ClientRequest, Refusal> {
+    if parts.crashes.is_empty() {
+        return Ok(request);
+    }
+    match parts.judge(request.digest()) {
+        CrashJudgement::Harmless => Ok(request),
+        CrashJudgement::Suspected(_) => Ok(request.as_crash_suspect()),
+        CrashJudgement::Fatal(wait) => Err(fatal_refusal(
+            parts,
+            &request,
+            service,
+            RunVerdict::NotRun,
+            wait,
+        )),
+        CrashJudgement::TrialDue => match parts.ask_trial(request.digest()).await {
+            true => Ok(request.as_crash_suspect().as_crash_trial()),
+            false => Err(fatal_refusal(
+                parts,
+                &request,
+                service,
+                RunVerdict::NotRun,
+                TRIAL_RETRY_AFTER,
+            )),
+        },
+    }
+}
+
+/// Suspension of the host after which a request's API key is checked again before a send: while suspended, the host
+/// receives no revocations. Shorter suspensions are within the usual time between the check and the send.
+const MIN_SUSPENSION: Duration = Duration::from_millis(200);
+
+/// Checks whether a request may be sent now. `verdict` tells whether earlier sends of it ran. These, or sends of the same
+/// request by other hosts, may have shown since its admission that it crashes its servers.
+pub(super) fn check_send(
+    parts: &RelayParts,
+    request: &ClientRequest,
+    service: &FastStr,
+    verdict: RunVerdict,
+) -> Result<(), Refusal> {
+    check_deadline_and_key(parts, request).map_err(|refusal| Refusal { verdict, ..refusal })?;
+    if parts.crashes.is_empty() {
+        return Ok(());
+    }
+    let wait = match parts.judge(request.digest()) {
+        CrashJudgement::Harmless | CrashJudgement::Suspected(_) => return Ok(()),
+        // The granted trial is one run, and that has not taken place yet.
+        _ if request.is_crash_trial && verdict == RunVerdict::NotRun => return Ok(()),
+        CrashJudgement::Fatal(wait) => wait,
+        CrashJudgement::TrialDue => TRIAL_RETRY_AFTER,
+    };
+    Err(fatal_refusal(parts, request, service, verdict, wait))
+}
+
+// Checks again what may have changed since admission: past the deadline, a server would compute a response that nobody
+// receives, and during a suspension, which timers do not count, the API key may have been revoked.
+fn check_deadline_and_key(parts: &RelayParts, request: &ClientRequest) -> Result<(), Refusal> {
+    if request.time_left().is_zero() {
+        let text = "the request's deadline has passed";
+        return Err(Refusal::not_run(RefusalCode::DeadlinePassed, text));
+    }
+    let suspended = parts
+        .clock
+        .suspended()
+        .saturating_sub(request.suspended_before);
+    if suspended < MIN_SUSPENSION {
+        return Ok(());
+    }
+    parts.identify(&request.route, request.marks.key).map(drop)
+}
+
+fn fatal_refusal(
+    parts: &RelayParts,
+    request: &ClientRequest,
+    service: &FastStr,
+    verdict: RunVerdict,
+    wait: Duration,
+) -> Refusal {
+    parts.metrics.fatal_refused(service);
+    let digest = request.digest();
+    let text =
+        format!("this request ({digest}) crashes backend servers and is sent to none of them");
+    Refusal::new(verdict, RefusalCode::EndsServers, text).after(wait.min(MAX_RETRY_AFTER))
+}
--- a/src/relay/request/stream.rs
+++ b/src/relay/request/stream.rs
@@ -1,19 +1,19 @@
-//! Requests answered by streams of events from model engines.
+//! Requests that model engines answer with a stream of events.
 //!
-//! Memory at a decode engine is reserved first, then a prefill engine computes the prompt, then the
-//! decode engine takes the KV cache over and streams. So no prompt is computed that finds no memory.
+//! Each round first reserves memory at a decode engine, then has a prefill engine compute the prompt, then sends the
+//! decode, which transfers the KV cache and streams the tokens. With this order no prompt is computed for which no
+//! decode engine has memory.
 
 use {
     super::{
         answer::{self, RelayAnswer},
-        call::RelayCall,
-        chunks::{self, ChunkEnd, ChunkStep},
-        guard::CallGuard,
-        judge,
-        pace::EventPace,
-        prefill::{self, WaitingCache},
-        reserve::{self, MemoryHold},
-        resume, seek,
+        client_request::ClientRequest,
+        event_gaps::EventGaps,
+        forward::{self, ForwardEvent, StreamEnd},
+        guard::InFlightGuard,
+        prefill::{self, PrefilledCache},
+        reserve::{self, MemoryReservation},
+        resume, seek, send_check,
         stream_log::StreamTimes,
     },
     crate::{
@@ -32,126 +32,127 @@
     tokio::time::Instant,
 };
 
-/// Prefill engines that a request is offered to one after the other while none of them got it.
-const PREFILLS_MAX: usize = 3;
+/// Number of prefill engines that are tried one after the other until one receives the request.
+const MAX_PREFILL_ENGINES: usize = 3;
 
-/// Rounds of reserving, computing and decoding until a request's answer begins.
-const ROUNDS_MAX: u32 = 3;
+/// Maximum number of rounds (reservation, prefill, decode) until the response begins.
+const MAX_ROUNDS: u32 = 3;
 
-/// The same for going on with a stream that broke.
-const RESUME_ROUNDS_MAX: u32 = 8;
+/// Maximum number of rounds to resume an interrupted stream.
+const MAX_RESUME_ROUNDS: u32 = 8;
 
-/// How long a stream that broke waits for a repeat to be allowed: its caller has part of the answer, and
-/// waits for some seconds.
-const RESUME_PATIENCE: Duration = Duration::from_millis(2_800);
+/// How long an interrupted stream waits until the retry budget allows resuming it. Its client already has part of the
+/// response and waits for some seconds.
+const RESUME_BUDGET_TIMEOUT: Duration = Duration::from_millis(2_800);
 
-/// How much longer than a new request a stream that broke waits for memory: its caller has waited less
-/// for it so far.
+/// How much longer than a new request an interrupted stream waits for memory: its client has waited for memory for less
+/// time so far.
 const RESUME_EXTRA_WAIT: Duration = Duration::from_millis(1_000);
 
-/// Pause before a stream that broke is tried again.
-const RESUME_PAUSE: Duration = Duration::from_millis(60);
+/// Pause before the next try to resume a stream.
+const RESUME_RETRY_DELAY: Duration = Duration::from_millis(60);
 
-/// When a caller is to come back after engines failed a request that did not run.
-const COME_BACK: Duration = Duration::from_millis(300);
+/// `Retry-After` when no round started the response.
+const RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// A request running at a decode engine.
-pub(super) struct RunningStream {
+/// A response that a decode engine is streaming.
+pub(super) struct DecodeStream {
     pub(super) status: StatusCode,
     headers: HeaderMap,
     pub(super) body: PooledBody,
-    pub(super) held: EngineHeld,
+    pub(super) guards: EngineGuards,
 }
 
-/// What a running request counts for at its engine, until dropped.
-pub(super) struct EngineHeld {
-    _memory: MemoryHold,
-    pub(super) guard: CallGuard,
+/// What a running decode occupies at its engine, released when dropped.
+pub(super) struct EngineGuards {
+    _memory: MemoryReservation,
+    pub(super) guard: InFlightGuard,
 }
 
-/// Why a round brought no stream.
+/// Why a round started no stream.
 pub(super) struct RoundFailure {
     pub(super) verdict: RunVerdict,
     pub(super) detail: String,
-    /// Why no further round may follow.
-    pub(super) refused: Option<Refusal>,
+    /// The refusal to return if no further round may follow.
+    pub(super) final_refusal: Option<Refusal>,
 }
 
 impl RoundFailure {
-    /// One after which another round may follow.
+    /// A failure after which another round may follow.
     pub(super) fn new(verdict: RunVerdict, detail: impl Into<String>) -> Self {
         Self {
             verdict,
             detail: detail.into(),
-            refused: None,
+            final_refusal: None,
         }
     }
 
-    // The failure, unless the request is refused for good.
-    fn or_refused(self) -> Result<Self, Refusal> {
-        match self.refused {
+    // Returns the refusal as the error if no further round may follow.
+    fn or_refusal(self) -> Result<Self, Refusal> {
+        match self.final_refusal {
             Some(refusal) => Err(refusal),
             None => Ok(self),
         }
     }
 }
 
-/// A streamed request on its way.
+/// The state of a streamed request.
 pub(super) struct StreamRelay {
     pub(super) parts: Rc<RelayParts>,
-    pub(super) call: Rc<RelayCall>,
+    pub(super) request: Rc<ClientRequest>,
     pub(super) service: FastStr,
     pub(super) rounds: u32,
-    // Whether the one prefill that costs no repeat was sent.
-    computed: bool,
-    // Whether an engine broke off while it computed the prompt: that it runs well elsewhere then speaks for nothing.
-    pub(super) prefill_broke: bool,
-    // Decodes that were sent, run or not.
-    decodes: u32,
+    // Whether a prefill engine has received the request. Further prefills count against the retry budget.
+    prefill_received: bool,
+    // Whether the connection to a prefill engine was lost during the prefill. A good decode elsewhere is then no evidence
+    // that the request is harmless.
+    pub(super) prefill_broken: bool,
+    // Number of decodes sent, whether they ran or not.
+    decodes_sent: u32,
     pub(super) skip_prefill: bool,
-    // Whether the engine whose memory is reserved keeps the prompt from an earlier run.
-    is_kept: bool,
-    // The engine that kept the prompt when the stream went on, for the log.
-    pub(super) kept_at: FastStr,
-    // Whether any decode so far may have run.
+    // Whether the decode engine with the reservation still has the prompt cached from an earlier run.
+    is_prompt_cached: bool,
+    // The engine that had the prompt cached when the stream was resumed, for the log.
+    pub(super) cache_engine: FastStr,
+    // The highest verdict of all rounds: whether any decode may have run.
     verdict: RunVerdict,
-    // Whether the repeat of the next decode is counted already.
-    repeat_paid: bool,
+    // Whether the next decode is already counted as a retry.
+    is_retry_counted: bool,
     pub(super) times: StreamTimes,
-    /// When events were passed on.
-    pub(super) pace: EventPace,
+    /// The gaps between the events sent to the client.
+    pub(super) event_gaps: EventGaps,
     // The decode engine of the last round.
-    pub(super) engine: FastStr,
-    // Whether the end was logged.
-    pub(super) ended: bool,
+    pub(super) decode_engine: FastStr,
+    // Whether the end of the request was logged.
+    pub(super) is_end_logged: bool,
 }
 
-/// Answers a streamed request.
+/// Relays a streamed request and returns its response.
 pub async fn relay_stream(
     parts: Rc<RelayParts>,
-    call: Rc<RelayCall>,
+    request: Rc<ClientRequest>,
     service: FastStr,
 ) -> Result<RelayAnswer, Refusal> {
     let mut relay = StreamRelay {
         parts,
-        call,
+        request,
         service,
         rounds: 0,
-        computed: false,
-        prefill_broke: false,
-        decodes: 0,
+        prefill_received: false,
+        prefill_broken: false,
+        decodes_sent: 0,
         skip_prefill: false,
-        is_kept: false,
-        kept_at: FastStr::default(),
+        is_prompt_cached: false,
+        cache_engine: FastStr::default(),
         verdict: RunVerdict::NotRun,
-        repeat_paid: false,
+        is_retry_counted: false,
         times: StreamTimes::default(),
-        pace: EventPace::default(),
-        engine: FastStr::default(),
-        ended: false,
+        event_gaps: EventGaps::default(),
+        decode_engine: FastStr::default(),
+        is_end_logged: false,
     };
-    let arrived = relay.call.arrived;
-    let running = match relay.begin(arrived).await {
+    let received_at = relay.request.received_at;
+    let running = match relay.start(received_at).await {
         Ok(running) => running,
         Err(refusal) => {
             relay.log_end("refused");
@@ -159,21 +160,27 @@
         }
     };
     let (status, headers) = (running.status, running.headers.clone());
-    let body = match relay.call.route.kind {
+    let body = match relay.request.route.kind {
         RequestKind::ResumableStream if status == StatusCode::OK => {
-            answer::streamed_body(resume::resumable_chunks(relay, running))
+            answer::streamed_body(resume::resumable_body(relay, running))
         }
         _ => {
-            let call = relay.call.clone();
-            let RunningStream { body, held, .. } = running;
-            let note = |kept: &mut (StreamRelay, EngineHeld), step: ChunkStep| match step {
-                ChunkStep::Passed => kept.0.pace.passed(Instant::now()),
-                ChunkStep::Ended(end) => {
-                    kept.0.note_end(&kept.1.guard, end);
-                    kept.0.log_end(end.as_str());
+            let request = relay.request.clone();
+            let DecodeStream { body, guards, .. } = running;
+            let observe = |state: &mut (StreamRelay, EngineGuards), event: ForwardEvent| match event
+            {
+                ForwardEvent::Chunk => state.0.event_gaps.record(Instant::now()),
+                ForwardEvent::End(end) => {
+                    state.0.record_end(&state.1.guard, end);
+                    state.0.log_end(end.as_str());
                 }
             };
-            answer::streamed_body(chunks::pass_on(body, call, (relay, held), note))
+            answer::streamed_body(forward::forward_body(
+                body,
+                request,
+                (relay, guards),
+                observe,
+            ))
         }
     };
     Ok(answer::relayed(status, headers, body))
@@ -181,65 +188,65 @@
 
 impl StreamRelay {
     pub(super) fn is_resumable(&self) -> bool {
-        self.call.route.kind == RequestKind::ResumableStream
+        self.request.route.kind == RequestKind::ResumableStream
     }
 
-    // Rounds until an engine answers; a round that may have run ends the tries unless the stream is
-    // resumable. What any round may have run stays so.
-    async fn begin(&mut self, since: Duration) -> Result<RunningStream, Refusal> {
+    // Runs rounds until an engine responds. After a round that may have run, only a resumable stream is tried again.
+    async fn start(&mut self, since: Duration) -> Result<DecodeStream, Refusal> {
         for round in 1.. {
-            let failure = match self.round(None, since).await? {
+            let failure = match self.run_round(None, since).await? {
                 Ok(running) => return Ok(running),
-                Err(failure) => failure.or_refused()?,
+                Err(failure) => failure.or_refusal()?,
             };
-            let again = failure.verdict.allows_retry(self.is_resumable());
-            if !again || round >= ROUNDS_MAX || self.call.time_left().is_zero() {
+            let may_retry = failure.verdict.allows_retry(self.is_resumable());
+            if !may_retry || round >= MAX_ROUNDS || self.request.time_left().is_zero() {
                 let refusal = Refusal::new(self.verdict, RefusalCode::BackendLost, failure.detail);
-                return Err(refusal.after(COME_BACK));
+                return Err(refusal.after(RETRY_AFTER));
             }
         }
         unreachable!("the rounds are bounded")
     }
 
-    /// Goes on after an event with a stream that broke: rounds until an engine answers.
+    /// Resumes an interrupted stream after the event `after`: runs rounds until an engine responds. The first round uses
+    /// the reservation if one is given.
     pub(super) async fn resume(
         &mut self,
         after: Option<FastStr>,
-        hold: Option<MemoryHold>,
-    ) -> Result<RunningStream, Refusal> {
+        reservation: Option<MemoryReservation>,
+    ) -> Result<DecodeStream, Refusal> {
         let now = self.parts.now();
         let since = now + RESUME_EXTRA_WAIT;
-        let pay_until = self.call.until.min(now + RESUME_PATIENCE);
-        let mut hold = hold;
+        let budget_deadline = self.request.deadline.min(now + RESUME_BUDGET_TIMEOUT);
+        let mut reservation = reservation;
         for round in 1.. {
-            while !self.pay_repeat() {
-                if self.parts.now() >= pay_until {
-                    let detail = "no repeats are left to go on with the stream";
+            while !self.count_retry() {
+                if self.parts.now() >= budget_deadline {
+                    let detail = "the retry budget does not allow resuming the stream";
                     return Err(Refusal::new(self.verdict, RefusalCode::BackendLost, detail));
                 }
-                tokio::time::sleep(RESUME_PAUSE).await;
+                tokio::time::sleep(RESUME_RETRY_DELAY).await;
             }
-            let result = match hold.take() {
-                Some(hold) => self.run_on(hold, after.clone()).await,
-                None => self.round(after.clone(), since).await?,
+            let result = match reservation.take() {
+                Some(reservation) => self.prefill_and_decode(reservation, after.clone()).await,
+                None => self.run_round(after.clone(), since).await?,
             };
             let failure = match result {
                 Ok(running) => return Ok(running),
-                Err(failure) => failure.or_refused()?,
+                Err(failure) => failure.or_refusal()?,
             };
-            if round >= RESUME_ROUNDS_MAX || self.call.time_left().is_zero() {
+            if round >= MAX_RESUME_ROUNDS || self.request.time_left().is_zero() {
                 let refusal = Refusal::new(self.verdict, RefusalCode::BackendLost, failure.detail);
                 return Err(refusal);
             }
-            tokio::time::sleep(RESUME_PAUSE).await;
+            tokio::time::sleep(RESUME_RETRY_DELAY).await;
         }
         unreachable!("the rounds are bounded")
     }
 
-    /// The answer of an engine came to its end.
-    pub(super) fn note_end(&self, guard: &CallGuard, end: ChunkEnd) {
-        if !(self.prefill_broke && end == ChunkEnd::Whole) {
-            guard.note_chunk_end(&self.call, end);
+    /// Records how the stream of an engine ended.
+    pub(super) fn record_end(&self, guard: &InFlightGuard, end: StreamEnd) {
+        if !(self.prefill_broken && end == StreamEnd::Complete) {
+            guard.record_end(&self.request, end);
         }
     }
 
@@ -250,66 +257,69 @@
         }
     }
 
-    async fn round(
+    async fn run_round(
         &mut self,
         after: Option<FastStr>,
         since: Duration,
-    ) -> Result<Result<RunningStream, RoundFailure>, Refusal> {
-        let goes_on = after.is_some();
-        let kept = self.find_kept(goes_on).await;
-        let (parts, call) = (&self.parts, &self.call);
+    ) -> Result<Result<DecodeStream, RoundFailure>, Refusal> {
+        let is_resumed = after.is_some();
+        let cached = self.find_cached_prompt(is_resumed).await;
+        let (parts, request) = (&self.parts, &self.request);
         let service = &self.service;
-        let reserved = reserve::reserve(parts, call, service, since, goes_on, kept.as_ref()).await;
-        let hold = reserved.map_err(|refusal| self.with_verdict(refusal))?;
-        self.is_kept = kept
+        let reserved =
+            reserve::reserve_memory(parts, request, service, since, is_resumed, cached.as_ref())
+                .await;
+        let reservation = reserved.map_err(|refusal| self.with_verdict(refusal))?;
+        self.is_prompt_cached = cached
             .as_ref()
-            .is_some_and(|kept| kept.engine.id == hold.engine.id);
-        self.kept_at = kept.map(|kept| kept.engine.id).unwrap_or_default();
-        Ok(self.run_on(hold, after).await)
+            .is_some_and(|cached| cached.engine.id == reservation.engine.id);
+        self.cache_engine = cached.map(|cached| cached.engine.id).unwrap_or_default();
+        Ok(self.prefill_and_decode(reservation, after).await)
     }
 
-    // Where a stream that goes on was begun, its prompt may still be kept.
-    async fn find_kept(&self, goes_on: bool) -> Option<KeptAt> {
-        let marks = &self.call.marks;
-        if !goes_on && marks.last_event.is_none() {
+    // The decode engine at which a resumed stream ran before may still have its prompt cached.
+    async fn find_cached_prompt(&self, is_resumed: bool) -> Option<KeptAt> {
+        let marks = &self.request.marks;
+        if !is_resumed && marks.last_event.is_none() {
             return None;
         }
-        seek::find_kept(&self.parts, &self.service, marks.last_part.as_deref()?).await
+        seek::find_cached_prompt(&self.parts, &self.service, marks.last_part.as_deref()?).await
     }
 
-    // Computes the prompt and decodes on memory that is reserved.
-    async fn run_on(
+    // Has the prompt computed and sends the decode to the engine that has memory reserved.
+    async fn prefill_and_decode(
         &mut self,
-        hold: MemoryHold,
+        reservation: MemoryReservation,
         after: Option<FastStr>,
-    ) -> Result<RunningStream, RoundFailure> {
+    ) -> Result<DecodeStream, RoundFailure> {
         self.check_send()?;
         self.rounds += 1;
-        self.times.reserved = self.call.age();
-        self.engine = hold.engine.id.clone();
-        let cache = self.compute(&hold).await;
-        self.times.computed = self.call.age();
-        let running = self.decode(hold, cache, after).await;
-        self.times.answered = self.call.age();
+        self.times.reserved = self.request.age();
+        self.decode_engine = reservation.engine.id.clone();
+        let cache = self.prefill(&reservation).await;
+        self.times.computed = self.request.age();
+        let running = self.decode(reservation, cache, after).await;
+        self.times.responded = self.request.age();
         if let Err(failure) = &running {
             self.verdict = self.verdict.max(failure.verdict);
         }
         running
     }
 
-    // Without a cache the decode engine computes the prompt itself: no prefill engine is free soon, or
-    // the one that was asked failed.
-    async fn compute(&mut self, hold: &MemoryHold) -> Option<WaitingCache> {
+    // Has a prefill engine compute the prompt. Returns `None` if none is free soon or the chosen one failed; the decode
+    // engine then computes the prompt itself.
+    async fn prefill(&mut self, reservation: &MemoryReservation) -> Option<PrefilledCache> {
         let mut tried = Vec::new();
-        // A trial is one send.
-        let is_trial = self.call.is_on_trial;
-        let is_needless = self.skip_prefill || is_trial || std::mem::take(&mut self.is_kept);
-        while !is_needless && tried.len() < PREFILLS_MAX {
-            let zone = &hold.engine.zone;
-            let (parts, rank) = (&self.parts, self.call.priority());
-            let chosen = prefill::choose_engine(parts, &self.service, zone, rank, &tried)?;
+        // A crash trial is a single send, which is the decode.
+        let is_trial = self.request.is_crash_trial;
+        let skips_prefill =
+            self.skip_prefill || is_trial || std::mem::take(&mut self.is_prompt_cached);
+        while !skips_prefill && tried.len() < MAX_PREFILL_ENGINES {
+            let zone = &reservation.engine.zone;
+            let (parts, rank) = (&self.parts, self.request.priority());
+            let chosen = prefill::choose_prefill_engine(parts, &self.service, zone, rank, &tried)?;
             let engine = chosen.0.id.clone();
-            // Rate-limited and without a permit: as one that the request does not reach.
+            // A rate-limited engine without a permit is treated like one that cannot be reached.
             let Ok(permit) = parts.take_permit(&chosen.0, rank).await else {
                 tried.push(engine);
                 continue;
@@ -318,21 +328,21 @@
                 tried.push(engine);
                 continue;
             }
-            if !self.may_compute() {
+            if !self.may_prefill() {
                 return None;
             }
             permit.use_up();
-            let failure = match prefill::compute_prompt(&self.parts, &self.call, chosen).await {
+            let failure = match prefill::prefill_prompt(&self.parts, &self.request, chosen).await {
                 Ok(cache) => {
-                    self.computed = true;
+                    self.prefill_received = true;
                     return Some(cache);
                 }
                 Err(failure) => failure,
             };
             self.log_prefill_failure(&engine, &failure);
-            self.prefill_broke |= failure.arrived && failure.kind == BackendFailure::Broken;
-            if failure.arrived {
-                self.computed = true;
+            self.prefill_broken |= failure.received && failure.kind == BackendFailure::Broken;
+            if failure.received {
+                self.prefill_received = true;
                 self.parts.count_repeat(&self.service);
                 return None;
             }
@@ -341,9 +351,10 @@
         None
     }
 
-    // The first prefill costs a repeat too if its engine does not do it.
-    fn may_compute(&self) -> bool {
-        match self.computed {
+    // The first prefill counts as a retry only if its engine fails to do it, so until then it only has to fit into the
+    // budget.
+    fn may_prefill(&self) -> bool {
+        match self.prefill_received {
             true => self.parts.spend_repeat(&self.service),
             false => self.parts.may_risk_repeat(&self.service),
         }
@@ -353,64 +364,75 @@
         self.parts.spend_repeat(&self.service)
     }
 
-    /// Counts the repeat with which this stream would go on elsewhere; what its caller has of it is lost if
-    /// it cannot. Gives whether it is allowed.
-    pub(super) fn pay_repeat(&mut self) -> bool {
-        self.repeat_paid = self.repeat_paid || self.parts.spend_dear_repeat(&self.service);
-        self.repeat_paid
+    /// Counts the retry that resumes this stream at another engine, and returns whether the budget allows it. If not, the
+    /// part of the response that the client has is lost, so these retries may use a larger part of the budget.
+    pub(super) fn count_retry(&mut self) -> bool {
+        self.is_retry_counted =
+            self.is_retry_counted || self.parts.spend_dear_repeat(&self.service);
+        self.is_retry_counted
     }
 
-    // While it waited and its prompt was computed, servers may have ended under it elsewhere.
+    // The request may have crashed servers elsewhere while it waited or its prompt was computed.
     fn check_send(&self) -> Result<(), RoundFailure> {
         let Self {
             parts,
-            call,
+            request,
             service,
             verdict,
             ..
         } = self;
-        judge::check_send(parts, call, service, *verdict).map_err(|refusal| RoundFailure {
+        send_check::check_send(parts, request, service, *verdict).map_err(|refusal| RoundFailure {
             verdict: RunVerdict::NotRun,
             detail: refusal.message.clone(),
-            refused: Some(refusal),
+            final_refusal: Some(refusal),
         })
     }
 
     async fn decode(
         &mut self,
-        mut hold: MemoryHold,
-        cache: Option<WaitingCache>,
+        mut reservation: MemoryReservation,
+        cache: Option<PrefilledCache>,
         after: Option<FastStr>,
-    ) -> Result<RunningStream, RoundFailure> {
-        if !self.parts.may_send(&hold.engine, Some(hold.reserved_at)) {
-            let detail = format!("{} takes no new requests", hold.engine.id);
+    ) -> Result<DecodeStream, RoundFailure> {
+        if !self
+            .parts
+            .may_send(&reservation.engine, Some(reservation.reserved_at))
+        {
+            let detail = format!("{} takes no new requests", reservation.engine.id);
             return Err(RoundFailure::new(RunVerdict::NotRun, detail));
         }
-        if self.decodes > 0 && !std::mem::take(&mut self.repeat_paid) && !self.may_decode_again() {
-            let detail = "no repeats are left for another decode";
+        if self.decodes_sent > 0
+            && !std::mem::take(&mut self.is_retry_counted)
+            && !self.may_decode_again()
+        {
+            let detail = "the retry budget does not allow another decode";
             return Err(RoundFailure::new(RunVerdict::NotRun, detail));
         }
         self.check_send()?;
-        self.decodes += 1;
+        self.decodes_sent += 1;
         let cache_source = cache
             .as_ref()
-            .and_then(|cache| Some((cache.engine.address, cache.name()?)));
+            .and_then(|cache| Some((cache.engine.address, cache.handle()?)));
         let start = DecodeParams {
             cache_source,
-            reservation: hold.use_up(),
+            reservation: reservation.use_up(),
             after_event: after,
         };
-        let guard = CallGuard::begin(&self.parts, &hold.engine, self.call.is_suspected);
-        let answer = self.send_decode(&hold, &start, &guard).await?;
-        let answer = self
-            .check_answer(&hold.engine, &guard, cache, answer)
+        let guard = InFlightGuard::begin(
+            &self.parts,
+            &reservation.engine,
+            self.request.is_crash_suspect,
+        );
+        let response = self.send_decode(&reservation, &start, &guard).await?;
+        let response = self
+            .check_response(&reservation.engine, &guard, cache, response)
             .await?;
-        Ok(RunningStream {
-            status: answer.status,
-            headers: answer.headers,
-            body: answer.body,
-            held: EngineHeld {
-                _memory: hold,
+        Ok(DecodeStream {
+            status: response.status,
+            headers: response.headers,
+            body: response.body,
+            guards: EngineGuards {
+                _memory: reservation,
                 guard,
             },
         })
--- a/src/relay/request/stream_log.rs
+++ b/src/relay/request/stream_log.rs
@@ -1,4 +1,4 @@
-//! What the log says of a streamed request.
+//! Log events of streamed requests.
 
 use {
     super::{prefill::PrefillFailure, stream::StreamRelay},
@@ -7,18 +7,18 @@
     std::time::Duration,
 };
 
-/// When each step of a streamed request was done, since its arrival.
+/// When each step of the last round was done, counted from the request's arrival.
 #[derive(Debug, Default, Clone, Copy)]
 pub(super) struct StreamTimes {
     pub(super) reserved: Duration,
     pub(super) computed: Duration,
-    pub(super) answered: Duration,
+    pub(super) responded: Duration,
 }
 
 impl Drop for StreamRelay {
-    // The caller left: its connection drops whatever is being done for it.
+    // Logs requests whose client disconnected, which drops their state early.
     fn drop(&mut self) {
-        if !self.ended {
+        if !self.is_end_logged {
             self.log_end("caller-gone");
         }
     }
@@ -29,43 +29,46 @@
         event::emit(
             &event::PREFILL_FAILED,
             &[
-                ("request", &self.call.marks.id),
+                ("request", &self.request.marks.id),
                 ("engine", engine),
                 ("verdict", &failure.verdict),
                 ("cause", &failure.detail),
-                ("after_ms", &self.call.age().as_millis()),
+                ("after_ms", &self.request.age().as_millis()),
             ],
         );
     }
 
     pub(super) fn log_end(&mut self, end: &str) {
-        self.ended = true;
-        let call = &self.call;
-        let after_event = call.marks.last_event.as_deref().unwrap_or_default();
-        let pause_limit = call.route.event_gap_target.unwrap_or_default();
+        self.is_end_logged = true;
+        let request = &self.request;
+        let after_event = request.marks.last_event.as_deref().unwrap_or_default();
+        let gap_limit = request.route.event_gap_target.unwrap_or_default();
         event::emit(
             &event::REQUEST_ENDED,
             &[
-                ("request", &call.marks.id),
-                ("route", &call.route.name),
-                ("account", &call.account_name()),
-                ("config", &call.config_version),
+                ("request", &request.marks.id),
+                ("route", &request.route.name),
+                ("account", &request.account_name()),
+                ("config", &request.config_version),
                 ("end", &end),
-                ("engine", &self.engine),
+                ("engine", &self.decode_engine),
                 ("rounds", &self.rounds),
-                ("prompt_tokens", &call.marks.prompt_tokens),
-                ("answer_limit", &call.marks.answer_limit),
-                ("answer_hint", &call.marks.answer_hint.unwrap_or_default()),
+                ("prompt_tokens", &request.marks.prompt_tokens),
+                ("answer_limit", &request.marks.answer_limit),
+                (
+                    "answer_hint",
+                    &request.marks.answer_hint.unwrap_or_default(),
+                ),
                 ("after_event", &after_event),
-                ("waited_ms", &call.waited.as_millis()),
-                ("target_ms", &call.route.latency_target.as_millis()),
-                ("pause_limit_ms", &pause_limit.as_millis()),
-                ("pause_ms", &self.pace.longest().as_millis()),
-                ("kept_at", &self.kept_at),
+                ("waited_ms", &request.prior_wait.as_millis()),
+                ("target_ms", &request.route.latency_target.as_millis()),
+                ("pause_limit_ms", &gap_limit.as_millis()),
+                ("pause_ms", &self.event_gaps.longest().as_millis()),
+                ("kept_at", &self.cache_engine),
                 ("reserved_ms", &self.times.reserved.as_millis()),
                 ("computed_ms", &self.times.computed.as_millis()),
-                ("answered_ms", &self.times.answered.as_millis()),
-                ("ended_ms", &call.age().as_millis()),
+                ("answered_ms", &self.times.responded.as_millis()),
+                ("ended_ms", &request.age().as_millis()),
             ],
         );
     }
