--- a/src/relay/request/answer.rs
+++ b/src/relay/request/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: what a backend server said, as it said it, or a refusal.
+//! Responses to clients: relayed from backend servers unaltered, or generated for refusals.
 
 use {
     crate::{
@@ -17,15 +17,15 @@
     },
 };
 
-/// An answer to a caller.
+/// A response to a client.
 pub type RelayAnswer = Response<IngressBody>;
 
-/// A body that is there as a whole.
+/// A body that is fully buffered.
 pub fn whole_body(content: Bytes) -> IngressBody {
     Box::pin(Full::new(content).map_err(|never| match never {}))
 }
 
-/// A body whose chunks come one after the other; a failure among them breaks the connection.
+/// A body that is streamed in chunks. An error among them aborts the connection.
 pub fn streamed_body<S>(chunks: S) -> IngressBody
 where
     S: Stream<Item = Result<Bytes, BrokenBody>> + 'static,
@@ -34,21 +34,25 @@
     Box::pin(StreamBody::new(chunks.map(|chunk| chunk.map(Frame::data))))
 }
 
-/// The head of a backend server's answer with a body for the caller.
-pub fn relayed(status: StatusCode, mut headers: HeaderMap, body: IngressBody) -> RelayAnswer {
+/// Builds the response that relays a backend server's status and end-to-end headers.
+pub fn relayed_response(
+    status: StatusCode,
+    mut headers: HeaderMap,
+    body: IngressBody,
+) -> RelayAnswer {
     web::strip_hop_headers(&mut headers);
-    let mut answer = Response::new(body);
-    *answer.status_mut() = status;
-    *answer.headers_mut() = headers;
-    answer
+    let mut response = Response::new(body);
+    *response.status_mut() = status;
+    *response.headers_mut() = headers;
+    response
 }
 
-/// The answer that tells a caller of a refusal.
-pub fn refused(refusal: &Refusal) -> RelayAnswer {
+/// Builds the response for a refusal.
+pub fn refusal_response(refusal: &Refusal) -> RelayAnswer {
     let status = refusal_status(refusal);
-    let mut answer = Response::new(whole_body(Bytes::from(format!("{}\n", refusal.message))));
-    *answer.status_mut() = status;
-    let headers = answer.headers_mut();
+    let mut response = Response::new(whole_body(Bytes::from(format!("{}\n", refusal.message))));
+    *response.status_mut() = status;
+    let headers = response.headers_mut();
     headers.insert(
         header::CONTENT_TYPE,
         HeaderValue::from_static("text/plain; charset=utf-8"),
@@ -63,10 +67,10 @@
             headers.insert(header::RETRY_AFTER, value);
         }
     }
-    answer
+    response
 }
 
-/// The status of a refusal: one that promises that nothing ran is given only where that is so.
+/// The status code of a refusal. Codes after which clients retry as if nothing had run are used only if nothing ran.
 pub fn refusal_status(refusal: &Refusal) -> StatusCode {
     let ran = refusal.verdict != RunVerdict::NotRun;
     let status = match refusal.code {
@@ -76,23 +80,23 @@
     };
     assert!(
         !(ran && promises_not_run(status)),
-        "a promise that nothing ran has to be true"
+        "status {status} of a refusal must not promise that nothing ran"
     );
-    StatusCode::from_u16(status).expect("a status of a refusal")
+    StatusCode::from_u16(status).expect("refusals have valid status codes")
 }
 
-// Callers ask again after these as if nothing had been sent.
+// After these status codes, clients retry as if nothing had been sent.
 fn promises_not_run(status: u16) -> bool {
     matches!(status, 408 | 421 | 429 | 503)
 }
 
-struct GuardedBody<K> {
+struct GuardedBody<G> {
     body: IngressBody,
-    // Dropped with the body: at its end, or when the caller is gone.
-    _kept: K,
+    // Dropped with the body: when it was sent, or when the client disconnected.
+    _guard: G,
 }
 
-impl<K: Unpin> http_body::Body for GuardedBody<K> {
+impl<G: Unpin> http_body::Body for GuardedBody<G> {
     type Data = Bytes;
     type Error = BrokenBody;
 
@@ -112,7 +116,10 @@
     }
 }
 
-/// A body that keeps something for as long as it is being sent.
-pub fn kept_with<K: Unpin + 'static>(body: IngressBody, kept: K) -> IngressBody {
-    Box::pin(GuardedBody { body, _kept: kept })
+/// A body that holds `guard` while it is being sent.
+pub fn guarded_body<G: Unpin + 'static>(body: IngressBody, guard: G) -> IngressBody {
+    Box::pin(GuardedBody {
+        body,
+        _guard: guard,
+    })
 }
--- a/src/relay/request/handler.rs
+++ b/src/relay/request/handler.rs
@@ -34,8 +34,8 @@
         .routes()
         .and_then(|routes| find_route(&routes, &head).ok());
     let result = relay(&parts, head, body).await;
-    let mut answer = match result {
-        Ok(answer) => answer,
+    let mut response = match result {
+        Ok(response) => response,
         Err(refusal) => {
             event::emit(
                 &event::REQUEST_REFUSED,
@@ -48,17 +48,17 @@
                     ("why", &refusal.message),
                 ],
             );
-            answer::refused(&refusal)
+            answer::refusal_response(&refusal)
         }
     };
-    let status = answer.status().as_u16();
+    let status = response.status().as_u16();
     let route = route.as_deref();
     parts.metrics.answered(route, status, arrived.elapsed());
     if parts.gate.is_stopping() {
         let close = http::HeaderValue::from_static("close");
-        answer.headers_mut().insert(header::CONNECTION, close);
+        response.headers_mut().insert(header::CONNECTION, close);
     }
-    answer
+    response
 }
 
 async fn relay(
@@ -95,17 +95,17 @@
     let request = Rc::new(with_prior_wait(parts, request));
     let account = request.account.clone();
     let name = service.name.clone();
-    let answer = match uses_engines(&request, service.engine.is_some()) {
+    let response = match uses_engines(&request, service.engine.is_some()) {
         true => stream::relay_stream(parts.clone(), request, name).await,
         false => plain::relay_plain(parts.clone(), request, name).await,
     };
-    if let (Err(refusal), Some(account), Some(charge)) = (&answer, account, charge)
+    if let (Err(refusal), Some(account), Some(charge)) = (&response, account, charge)
         && refusal.verdict == RunVerdict::NotRun
     {
         parts.give_back(&account.name, charge);
     }
     // Counts as in progress until the client has received the last byte.
-    Ok(answer?.map(|body| answer::kept_with(body, entry)))
+    Ok(response?.map(|body| answer::guarded_body(body, entry)))
 }
 
 // Charges the request to its account's limit.
--- a/src/relay/request/plain.rs
+++ b/src/relay/request/plain.rs
@@ -140,7 +140,11 @@
             ))
         }
     };
-    Ok(answer::relayed(response.status, response.headers, body))
+    Ok(answer::relayed_response(
+        response.status,
+        response.headers,
+        body,
+    ))
 }
 
 impl PlainRelay {
--- a/src/relay/request/stream.rs
+++ b/src/relay/request/stream.rs
@@ -183,7 +183,7 @@
             ))
         }
     };
-    Ok(answer::relayed(status, headers, body))
+    Ok(answer::relayed_response(status, headers, body))
 }
 
 impl StreamRelay {
