--- a/src/relay/request/handler.rs
+++ b/src/relay/request/handler.rs
@@ -74,7 +74,7 @@
     let api_key = (parts.dialect.read_request)(&head.headers).key;
     parts.identify(&route, api_key)?;
     let service = routes.draw_service(&route).ok_or_else(|| {
-        let text = format!("route {} has no service to choose", route.name);
+        let text = format!("route {} has no target service", route.name);
         Refusal::not_run(RefusalCode::NoBackend, text).after(RETRY_AFTER)
     })?;
     let request = client_request::read_request(
--- a/src/relay/request/prefill.rs
+++ b/src/relay/request/prefill.rs
@@ -107,9 +107,9 @@
 ) -> Option<(BackendInfo, f64)> {
     let now = parts.now();
     let book = parts.book.borrow();
-    let mut passed_over = book.without_permit(service, rank, now);
-    passed_over.extend_from_slice(tried);
-    let best = book.best_prefill(service, zone, &passed_over, now)?;
+    let mut excluded = book.without_permit(service, rank, now);
+    excluded.extend_from_slice(tried);
+    let best = book.best_prefill(service, zone, &excluded, now)?;
     (best.1 < MAX_PREFILL_BACKLOG).then_some(best)
 }
 
