--- a/src/relay/host.rs
+++ b/src/relay/host.rs
@@ -19,8 +19,8 @@
         },
         parts::{metric_labels::StoreCause, shared::RelayParts},
         request::{
-            answer::{self, RelayAnswer},
             handler,
+            response::{self, RelayResponse},
         },
         roles::keeper,
         settings::RelaySettings,
@@ -280,7 +280,7 @@
 }
 
 // Answers requests of the load balancer and of operators.
-fn answer_check(parts: &RelayParts, path: &str) -> RelayAnswer {
+fn answer_check(parts: &RelayParts, path: &str) -> RelayResponse {
     match path {
         METRICS_PATH => page(200, parts.metrics_page()),
         LIMITS_PATH => page(200, parts.limits_page()),
@@ -293,8 +293,8 @@
     }
 }
 
-fn page(status: u16, text: impl Into<Bytes>) -> RelayAnswer {
-    let mut answer = Response::new(answer::whole_body(text.into()));
+fn page(status: u16, text: impl Into<Bytes>) -> RelayResponse {
+    let mut answer = Response::new(response::full_body(text.into()));
     *answer.status_mut() = StatusCode::from_u16(status).expect("a status");
     answer
 }
--- a/src/relay/request/handler.rs
+++ b/src/relay/request/handler.rs
@@ -2,9 +2,10 @@
 
 use {
     super::{
-        answer::{self, RelayAnswer},
         client_request::{self, ClientRequest},
-        plain, send_check, stream,
+        plain,
+        response::{self, RelayResponse},
+        send_check, stream,
     },
     crate::{
         event,
@@ -25,7 +26,7 @@
 const RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// Handles a client's request. A refusal is logged and becomes a response.
-pub async fn answer_caller(parts: Rc<RelayParts>, request: Request<Incoming>) -> RelayAnswer {
+pub async fn answer_caller(parts: Rc<RelayParts>, request: Request<Incoming>) -> RelayResponse {
     let arrived = Instant::now();
     let (head, body) = request.into_parts();
     let id = (parts.dialect.read_request)(&head.headers).id;
@@ -48,7 +49,7 @@
                     ("why", &refusal.message),
                 ],
             );
-            answer::refusal_response(&refusal)
+            response::refusal_response(&refusal)
         }
     };
     let status = response.status().as_u16();
@@ -65,7 +66,7 @@
     parts: &Rc<RelayParts>,
     head: Parts,
     body: Incoming,
-) -> Result<RelayAnswer, Refusal> {
+) -> Result<RelayResponse, Refusal> {
     let entry = parts.gate.enter()?;
     let routes = parts.routes().ok_or_else(not_configured)?;
     let limits = &routes.config().limits;
@@ -105,7 +106,7 @@
         parts.give_back(&account.name, charge);
     }
     // Counts as in progress until the client has received the last byte.
-    Ok(response?.map(|body| answer::guarded_body(body, entry)))
+    Ok(response?.map(|body| response::guarded_body(body, entry)))
 }
 
 // Charges the request to its account's limit.
--- a/src/relay/request/mod.rs
+++ b/src/relay/request/mod.rs
@@ -1,7 +1,6 @@
 //! Handles client requests from the first byte to the response: sends them to backend servers and deals with failures.
 //! Decisions, such as which server to choose and whether to retry, are made in `policy`.
 
-pub(crate) mod answer;
 pub(crate) mod client_request;
 pub(crate) mod decode;
 pub(crate) mod event_gaps;
@@ -12,6 +11,7 @@
 pub(crate) mod plain;
 pub(crate) mod prefill;
 pub(crate) mod reserve;
+pub(crate) mod response;
 pub(crate) mod resume;
 pub(crate) mod seek;
 pub(crate) mod send;
@@ -20,5 +20,5 @@
 mod stream_log;
 
 pub use self::{
-    answer::*, client_request::*, event_splitter::*, handler::*, prefill::*, reserve::*,
+    client_request::*, event_splitter::*, handler::*, prefill::*, reserve::*, response::*,
 };
--- a/src/relay/request/plain.rs
+++ b/src/relay/request/plain.rs
@@ -2,10 +2,10 @@
 
 use {
     super::{
-        answer::{self, RelayAnswer},
         client_request::ClientRequest,
         forward::{self, ForwardEvent},
         guard::InFlightGuard,
+        response::{self, RelayResponse},
         send::{self, PlainBody, PlainResponse, SendOutcome},
         send_check,
     },
@@ -91,7 +91,7 @@
     parts: Rc<RelayParts>,
     request: Rc<ClientRequest>,
     service: FastStr,
-) -> Result<RelayAnswer, Refusal> {
+) -> Result<RelayResponse, Refusal> {
     let mut relay = PlainRelay {
         parts,
         request,
@@ -121,7 +121,7 @@
         relay.log_end(response.status.as_str());
     }
     let body = match response.body {
-        PlainBody::Full(body) => answer::whole_body(body),
+        PlainBody::Full(body) => response::full_body(body),
         PlainBody::Streaming(body, guard) => {
             let request = relay.request.clone();
             let observe = |state: &mut (PlainRelay, InFlightGuard), event: ForwardEvent| match event
@@ -132,7 +132,7 @@
                     state.0.log_end(end.as_str());
                 }
             };
-            answer::streamed_body(forward::forward_body(
+            response::streamed_body(forward::forward_body(
                 body,
                 request,
                 (relay, guard),
@@ -140,7 +140,7 @@
             ))
         }
     };
-    Ok(answer::relayed_response(
+    Ok(response::relayed_response(
         response.status,
         response.headers,
         body,
--- a/src/relay/request/answer.rs
+++ b/src/relay/request/response.rs
@@ -18,10 +18,10 @@
 };
 
 /// A response to a client.
-pub type RelayAnswer = Response<IngressBody>;
+pub type RelayResponse = Response<IngressBody>;
 
 /// A body that is fully buffered.
-pub fn whole_body(content: Bytes) -> IngressBody {
+pub fn full_body(content: Bytes) -> IngressBody {
     Box::pin(Full::new(content).map_err(|never| match never {}))
 }
 
@@ -39,7 +39,7 @@
     status: StatusCode,
     mut headers: HeaderMap,
     body: IngressBody,
-) -> RelayAnswer {
+) -> RelayResponse {
     web::strip_hop_headers(&mut headers);
     let mut response = Response::new(body);
     *response.status_mut() = status;
@@ -48,9 +48,9 @@
 }
 
 /// Builds the response for a refusal.
-pub fn refusal_response(refusal: &Refusal) -> RelayAnswer {
+pub fn refusal_response(refusal: &Refusal) -> RelayResponse {
     let status = refusal_status(refusal);
-    let mut response = Response::new(whole_body(Bytes::from(format!("{}\n", refusal.message))));
+    let mut response = Response::new(full_body(Bytes::from(format!("{}\n", refusal.message))));
     *response.status_mut() = status;
     let headers = response.headers_mut();
     headers.insert(
--- a/src/relay/request/stream.rs
+++ b/src/relay/request/stream.rs
@@ -6,13 +6,13 @@
 
 use {
     super::{
-        answer::{self, RelayAnswer},
         client_request::ClientRequest,
         event_gaps::EventGaps,
         forward::{self, ForwardEvent, StreamEnd},
         guard::InFlightGuard,
         prefill::{self, PrefilledCache},
         reserve::{self, MemoryReservation},
+        response::{self, RelayResponse},
         resume, seek, send_check,
         stream_log::StreamTimes,
     },
@@ -132,7 +132,7 @@
     parts: Rc<RelayParts>,
     request: Rc<ClientRequest>,
     service: FastStr,
-) -> Result<RelayAnswer, Refusal> {
+) -> Result<RelayResponse, Refusal> {
     let mut relay = StreamRelay {
         parts,
         request,
@@ -162,7 +162,7 @@
     let (status, headers) = (running.status, running.headers.clone());
     let body = match relay.request.route.kind {
         RequestKind::ResumableStream if status == StatusCode::OK => {
-            answer::streamed_body(resume::resumable_body(relay, running))
+            response::streamed_body(resume::resumable_body(relay, running))
         }
         _ => {
             let request = relay.request.clone();
@@ -175,7 +175,7 @@
                     state.0.log_end(end.as_str());
                 }
             };
-            answer::streamed_body(forward::forward_body(
+            response::streamed_body(forward::forward_body(
                 body,
                 request,
                 (relay, guards),
@@ -183,7 +183,7 @@
             ))
         }
     };
-    Ok(answer::relayed_response(status, headers, body))
+    Ok(response::relayed_response(status, headers, body))
 }
 
 impl StreamRelay {
