--- a/src/host/passing.rs
+++ b/src/host/passing.rs
@@ -102,7 +102,7 @@
     relay::spawn_critical("objects in force", follow(traffic.clone(), parts.clone()));
     relay::spawn_critical("metrics", show_metrics(traffic.clone(), parts.clone()));
     let handler: web::IngressHandler =
-        Rc::new(move |request| relay::answer_caller(parts.clone(), request).boxed_local());
+        Rc::new(move |request| relay::handle_request(parts.clone(), request).boxed_local());
     let limits = Rc::new(IngressLimits {
         header_time: Cell::new(traffic.settings.body_time),
         silence_limit: SILENCE_LIMIT,
--- a/src/relay/host.rs
+++ b/src/relay/host.rs
@@ -178,7 +178,7 @@
 
     fn caller_handler(&self) -> IngressHandler {
         let parts = self.parts.clone();
-        Rc::new(move |request| handler::answer_caller(parts.clone(), request).boxed_local())
+        Rc::new(move |request| handler::handle_request(parts.clone(), request).boxed_local())
     }
 
     fn check_handler(&self) -> IngressHandler {
--- a/src/relay/request/handler.rs
+++ b/src/relay/request/handler.rs
@@ -26,7 +26,7 @@
 const RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// Handles a client's request. A refusal is logged and becomes a response.
-pub async fn answer_caller(parts: Rc<RelayParts>, request: Request<Incoming>) -> RelayResponse {
+pub async fn handle_request(parts: Rc<RelayParts>, request: Request<Incoming>) -> RelayResponse {
     let arrived = Instant::now();
     let (head, body) = request.into_parts();
     let id = (parts.dialect.read_request)(&head.headers).id;
