--- a/src/relay/request/client_request.rs
+++ b/src/relay/request/client_request.rs
@@ -197,17 +197,14 @@
             return Ok(buffer.freeze());
         };
         let frame = frame.map_err(|error| {
-            let text = format!("reading the request body failed: {error}");
+            let text = format!("the body broke off: {error}");
             Refusal::not_run(RefusalCode::InvalidRequest, text)
         })?;
         let Ok(data) = frame.into_data() else {
             continue;
         };
         if buffer.len() + data.len() > limits.body_bytes {
-            let text = format!(
-                "the request body is larger than {} bytes",
-                limits.body_bytes
-            );
+            let text = format!("the body has more than {} bytes", limits.body_bytes);
             return Err(Refusal::not_run(RefusalCode::TooLarge, text));
         }
         buffer.extend_from_slice(&data);
@@ -215,8 +212,5 @@
 }
 
 fn slow_body() -> Refusal {
-    Refusal::not_run(
-        RefusalCode::SlowCaller,
-        "the request body took too long to arrive",
-    )
+    Refusal::not_run(RefusalCode::SlowCaller, "the body took too long to arrive")
 }
--- a/src/relay/request/decode.rs
+++ b/src/relay/request/decode.rs
@@ -73,7 +73,7 @@
         let marks = (parts.dialect.read_response)(response.status, &response.headers);
         guard.record_response(response.status, &marks);
         if marks.is_for_other_request(&self.request.marks.id) {
-            let detail = "response to another request";
+            let detail = "an answer to another request";
             parts.note_failure(engine, BackendFailure::Broken, detail);
             let detail = format!("decode at {}: {detail}", engine.id);
             return Err(RoundFailure::new(RunVerdict::MayHaveRun, detail));
--- a/src/relay/request/handler.rs
+++ b/src/relay/request/handler.rs
@@ -75,7 +75,7 @@
     let api_key = (parts.dialect.read_request)(&head.headers).key;
     parts.identify(&route, api_key)?;
     let service = routes.draw_service(&route).ok_or_else(|| {
-        let text = format!("route {} has no target service", route.name);
+        let text = format!("route {} leads to no service", route.name);
         Refusal::not_run(RefusalCode::NoBackend, text).after(RETRY_AFTER)
     })?;
     let request = client_request::read_request(
@@ -145,7 +145,7 @@
         .sum();
     if size > limits.header_bytes {
         let text = format!(
-            "the headers take {size} bytes, more than the limit of {}",
+            "the headers have {size} bytes, more than {}",
             limits.header_bytes
         );
         return Err(Refusal::not_run(RefusalCode::HeadersTooLarge, text));
--- a/src/relay/request/plain.rs
+++ b/src/relay/request/plain.rs
@@ -105,7 +105,7 @@
         permit_wait: None,
         final_refusal: None,
         verdict: RunVerdict::NotRun,
-        detail: "no backend server is available".into(),
+        detail: "no backend server can take it".into(),
         attempt_log: String::new(),
         fallback: None,
         is_end_logged: false,
@@ -196,7 +196,7 @@
     fn fail_unanswered(&mut self) {
         for backend in std::mem::take(&mut self.pending) {
             self.log_attempt(&backend, "silent");
-            let detail = "no response within the time limit";
+            let detail = "no answer within the time limit";
             self.parts
                 .note_failure(&backend, BackendFailure::Silent, detail);
             self.verdict = self.verdict.max(RunVerdict::MayHaveRun);
@@ -325,7 +325,7 @@
                     return Some(*response);
                 }
                 self.verdict = RunVerdict::Ran;
-                self.detail = format!("{} responded with status {}", backend.id, response.status);
+                self.detail = format!("{} answered {}", backend.id, response.status);
                 self.fallback = Some(*response);
             }
             SendOutcome::Declined(detail) => self.handle_decline(backend, "declined", &detail),
--- a/src/relay/request/reserve.rs
+++ b/src/relay/request/reserve.rs
@@ -215,7 +215,7 @@
     let memory = engine_limits(parts, service).map(|limits| limits.memory_tokens);
     let book = parts.book.borrow();
     let room = DecodeRoom::of(&book, service, tokens, memory, parts.now());
-    let text = format!("no decode engine has enough memory for this request: {room}");
+    let text = format!("no decode engine has memory for this request: {room}");
     Refusal::not_run(RefusalCode::Overloaded, text).after(rand::random_range(admission::COME_BACK))
 }
 
--- a/src/relay/request/send.rs
+++ b/src/relay/request/send.rs
@@ -75,7 +75,7 @@
     let marks = (parts.dialect.read_response)(response.status, &response.headers);
     guard.record_response(response.status, &marks);
     if marks.is_for_other_request(&request.marks.id) {
-        let detail = "response to another request";
+        let detail = "an answer to another request came";
         parts.note_failure(backend, BackendFailure::Broken, detail);
         return SendOutcome::Lost(detail.into());
     }
@@ -108,7 +108,7 @@
         Ok(body) => body,
         Err(detail) => {
             parts.note_failure(backend, BackendFailure::Broken, &detail);
-            return SendOutcome::Lost(format!("response body cut short: {detail}"));
+            return SendOutcome::Lost(format!("answer cut short: {detail}"));
         }
     };
     if not_run {
--- a/src/relay/request/send_check.rs
+++ b/src/relay/request/send_check.rs
@@ -81,7 +81,7 @@
 // receives, and during a suspension, which timers do not count, the API key may have been revoked.
 fn check_deadline_and_key(parts: &RelayParts, request: &ClientRequest) -> Result<(), Refusal> {
     if request.time_left().is_zero() {
-        let text = "the request's deadline has passed";
+        let text = "its time is over";
         return Err(Refusal::not_run(RefusalCode::DeadlinePassed, text));
     }
     let suspended = parts
@@ -103,7 +103,6 @@
 ) -> Refusal {
     parts.metrics.fatal_refused(service);
     let digest = request.digest();
-    let text =
-        format!("this request ({digest}) crashes backend servers and is sent to none of them");
+    let text = format!("backend servers end under this request ({digest}), so it is sent to none");
     Refusal::new(verdict, RefusalCode::EndsServers, text).after(wait.min(MAX_RETRY_AFTER))
 }
--- a/src/relay/request/stream.rs
+++ b/src/relay/request/stream.rs
@@ -221,7 +221,7 @@
         for round in 1.. {
             while !self.count_retry() {
                 if self.parts.now() >= budget_deadline {
-                    let detail = "the retry budget does not allow resuming the stream";
+                    let detail = "no repeats are left to go on with the stream";
                     return Err(Refusal::new(self.verdict, RefusalCode::BackendLost, detail));
                 }
                 tokio::time::sleep(RESUME_RETRY_DELAY).await;
@@ -405,7 +405,7 @@
             && !std::mem::take(&mut self.is_retry_counted)
             && !self.may_decode_again()
         {
-            let detail = "the retry budget does not allow another decode";
+            let detail = "no repeats are left for another decode";
             return Err(RoundFailure::new(RunVerdict::NotRun, detail));
         }
         self.check_send()?;
