--- a/src/host/passing.rs
+++ b/src/host/passing.rs
@@ -99,10 +99,10 @@
         traffic.clock.clone(),
         Rc::default(),
     );
-    relay::spawn_vital("objects in force", follow(traffic.clone(), parts.clone()));
-    relay::spawn_vital("metrics", show_metrics(traffic.clone(), parts.clone()));
+    relay::spawn_critical("objects in force", follow(traffic.clone(), parts.clone()));
+    relay::spawn_critical("metrics", show_metrics(traffic.clone(), parts.clone()));
     let handler: web::IngressHandler =
-        Rc::new(move |request| relay::answer_caller(parts.clone(), request).boxed_local());
+        Rc::new(move |request| relay::handle_request(parts.clone(), request).boxed_local());
     let limits = Rc::new(IngressLimits {
         header_time: Cell::new(traffic.settings.body_time),
         silence_limit: SILENCE_LIMIT,
@@ -125,7 +125,7 @@
         peers: settings.peers,
         seeds: Vec::new(),
         first_start: false,
-        strength: 0,
+        link_mbps: 0,
         store: settings.platform,
         requests_limit: settings.concurrent,
         pool: PoolSettings {
@@ -201,7 +201,7 @@
         name: name.clone(),
         zone: zone.clone(),
         peers: address,
-        strength: 0,
+        link_mbps: 0,
     }
 }
 
--- /dev/null
+++ b/src/relay/cluster/mod.rs
@@ -0,0 +1,9 @@
+//! What a host knows of the configuration, the backend servers and the other hosts, and the changes that other
+//! hosts lack. Plain state: how hosts exchange it is implemented in `news`.
+
+mod backend_list;
+pub(crate) mod history;
+mod host_list;
+pub(crate) mod state;
+
+pub use self::{backend_list::*, history::*, host_list::*, state::*};
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -1,9 +1,10 @@
-//! Passing requests through unaltered to the backend servers of services: which, when, and what
-//! becomes of them when something fails.
+//! Relaying requests unmodified to the backend servers of services: the choice of server, admission, and the handling
+//! of failures.
 
 mod backend;
-mod belief;
+mod cluster;
 mod config;
+mod critical_task;
 mod dialect;
 mod figures;
 mod host;
@@ -15,9 +16,8 @@
 mod request;
 mod roles;
 mod settings;
-mod vital;
 
 pub use self::{
-    backend::*, belief::*, config::*, dialect::*, host::*, link::*, news::*, objects::*, parts::*,
-    policy::*, request::*, roles::*, settings::*, vital::*,
+    backend::*, cluster::*, config::*, critical_task::*, dialect::*, host::*, link::*, news::*,
+    objects::*, parts::*, policy::*, request::*, roles::*, settings::*,
 };
--- a/src/relay/objects.rs
+++ b/src/relay/objects.rs
@@ -1,12 +1,13 @@
-//! The operators' objects as a relaying host needs them, and how plain servers of the product's own
-//! interface are spoken to.
+//! Converts the operators' objects to a relay configuration, and implements the product's own protocol for plain
+//! backend servers.
 
 use {
     super::{
         backend::BackendInfo,
         config::{CallerLimits, RelayConfig, RelayRoute, RelayService, ServiceShare},
         dialect::{
-            self, AnswerMarks, BackendCall, CallAddress, CallDialect, CallMarks, EngineDialect,
+            self, BackendCall, CallDialect, EngineDialect, RequestMetadata, RequestTarget,
+            ResponseMetadata,
         },
     },
     crate::{
@@ -22,16 +23,16 @@
     std::time::Duration,
 };
 
-/// Id that a caller gives its request; servers may repeat it in their answer.
+/// Request id set by the caller; servers may repeat it in their response.
 const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 
-/// What is left of the caller's time, milliseconds; from callers and to servers.
+/// How long the caller will still wait, in milliseconds; sent by callers and to servers.
 const TIME_LEFT: HeaderName = HeaderName::from_static("bayplank-time-left-ms");
 
-/// The server that a request is meant for.
+/// The intended server of a request.
 const SERVER: HeaderName = HeaderName::from_static("bayplank-server");
 
-/// The configuration that the objects in force make.
+/// Converts the objects in force to a relay configuration.
 pub fn relay_config(objects: &ObjectSet, version: u64, body_bytes: usize) -> RelayConfig {
     let routes = objects.pass_routes.values();
     let services = objects.services.keys();
@@ -78,7 +79,7 @@
     }
 }
 
-/// The servers of all services; one that two services select stands there for each.
+/// The servers of all services; a server that two services select is included once for each.
 pub fn relay_backends(objects: &ObjectSet, servers: &[ServerInfo]) -> Vec<BackendInfo> {
     let services = objects.services.values();
     let backends = services.flat_map(|service| {
@@ -91,7 +92,7 @@
     backends.collect()
 }
 
-// A server that was started anew at another address is another one.
+// The address is part of the id, as a server that restarts at another address is a different one.
 fn relay_backend(service: &FastStr, server: &ServerInfo) -> BackendInfo {
     let id = format!("{service}/{}@{}", server.name, server.address);
     BackendInfo {
@@ -107,61 +108,64 @@
     }
 }
 
-/// How plain servers of the product's own interface are spoken to. Their services have no engines.
+/// The product's own protocol for plain servers. Their services have no engines.
 pub fn server_dialect() -> CallDialect {
     CallDialect {
-        read_call,
-        strip_call: |headers| {
+        read_request,
+        strip_request: |headers| {
             headers.remove(SERVER);
         },
-        address_call,
-        name_backend,
-        read_answer,
+        set_target,
+        set_backend,
+        read_response,
         engines: no_engines(),
     }
 }
 
-fn read_call(headers: &HeaderMap) -> CallMarks {
+fn read_request(headers: &HeaderMap) -> RequestMetadata {
     let text = |name: &HeaderName| headers.get(name)?.to_str().ok();
     let left = text(&TIME_LEFT).and_then(|left| match left.parse() {
         Ok(left) => Some(Duration::from_millis(left)),
         Err(error) => {
-            log::debug!("a caller's {TIME_LEFT} {left:?} is passed over: {error}");
+            log::debug!("ignoring a caller's invalid {TIME_LEFT} header {left:?}: {error}");
             None
         }
     });
-    CallMarks {
+    RequestMetadata {
         id: FastStr::new(text(&REQUEST_ID).unwrap_or_default()),
         time_left: left,
-        ..CallMarks::default()
+        ..RequestMetadata::default()
     }
 }
 
-fn address_call(headers: &mut HeaderMap, address: CallAddress<'_>) {
-    name_backend(headers, address.backend);
+fn set_target(headers: &mut HeaderMap, address: RequestTarget<'_>) {
+    set_backend(headers, address.backend);
     let left = address.time_left.as_millis() as u64;
     headers.insert(TIME_LEFT, HeaderValue::from(left));
 }
 
-fn name_backend(headers: &mut HeaderMap, backend: &str) {
+fn set_backend(headers: &mut HeaderMap, backend: &str) {
     match HeaderValue::from_str(backend) {
         Ok(value) => {
             headers.insert(SERVER, value);
         }
-        Err(_) => log::warn!("{backend:?} cannot be a header value and is left out"),
+        Err(_) => {
+            log::warn!("omitting the {SERVER} header: {backend:?} is not a valid header value")
+        }
     }
 }
 
-fn read_answer(status: StatusCode, headers: &HeaderMap) -> AnswerMarks {
+fn read_response(status: StatusCode, headers: &HeaderMap) -> ResponseMetadata {
     let text = |name: &str| headers.get(name)?.to_str().ok();
-    AnswerMarks {
+    ResponseMetadata {
         id: text(REQUEST_ID.as_str()).map(FastStr::new),
         not_run: text(VERDICT_HEADER) == Some(RunVerdict::NotRun.as_str()),
         server: dialect::read_server_marks(status, headers, &SERVER_HEADERS),
     }
 }
 
-// Never sent: no service of this interface is configured with engines, and nothing is asked of others.
+// Placeholders that are never called: no service of this protocol is configured with engines, and these calls are made
+// to engines only.
 fn no_engines() -> EngineDialect {
     fn no_call() -> BackendCall {
         BackendCall {
@@ -172,17 +176,17 @@
         }
     }
     EngineDialect {
-        as_prefill: |_| {},
+        prepare_prefill: |_| {},
         read_prefill: |_| None,
-        as_decode: |_, _| {},
-        hold: |_, _| no_call(),
-        read_hold: |_| None,
-        drop_hold: |_| no_call(),
+        prepare_decode: |_, _| {},
+        reserve_memory: |_, _| no_call(),
+        read_reservation: |_| None,
+        release_memory: |_| no_call(),
         free_cache: |_| no_call(),
-        ask_cache: |_| no_call(),
+        query_cache: |_| no_call(),
         read_cache: |_, _| None,
-        report: no_call,
+        query_report: no_call,
         read_report: |_| None,
-        order: |_| no_call(),
+        order_role: |_| no_call(),
     }
 }
--- a/src/relay/parts/shared.rs
+++ b/src/relay/parts/shared.rs
@@ -18,7 +18,7 @@
         operation::RunVerdict,
         relay::{
             backend::BackendInfo,
-            belief::cluster::ClusterState,
+            cluster::state::ClusterState,
             dialect::{BackendCall, CallDialect},
             policy::{
                 budget::RetryWindow, caller_timeouts::CallerTimeouts, limit_book::LimitBook,
@@ -165,7 +165,7 @@
         self.eras.note(era);
         let mut cluster = self.cluster.borrow_mut();
         let held = cluster.backends_position();
-        if let Some(before) = cluster.note_era(era, self.now()) {
+        if let Some(before) = cluster.record_era(era, self.now()) {
             event::emit(
                 &event::STORE_RESTORED,
                 &[
@@ -181,7 +181,7 @@
     /// A list was taken: perhaps the last one to be read again after the store was restored.
     pub fn note_reread(&self) {
         let mut cluster = self.cluster.borrow_mut();
-        if cluster.take_reread() {
+        if cluster.take_reread_complete() {
             event::emit(
                 &event::STORE_REREAD,
                 &[
@@ -247,7 +247,7 @@
             header::CONTENT_TYPE,
             HeaderValue::from_static("application/json"),
         );
-        (self.dialect.name_backend)(headers, &backend.id);
+        (self.dialect.set_backend)(headers, &backend.id);
         let sent = self.now();
         let answer = match purpose {
             // What is held at a server is let go also where it takes no new requests: nobody else can.
@@ -257,7 +257,7 @@
             }
             _ => self.send_to(backend, purpose, request, None).await?,
         };
-        let marks = (self.dialect.read_answer)(answer.status, &answer.headers);
+        let marks = (self.dialect.read_response)(answer.status, &answer.headers);
         self.note_marks(backend, &marks.server, AnswerKind::Other, sent);
         Ok(answer)
     }
--- a/src/relay/policy/admission.rs
+++ b/src/relay/policy/admission.rs
@@ -5,7 +5,7 @@
 
 use {
     super::wait_queue::QueueKey,
-    crate::relay::dialect::CallMarks,
+    crate::relay::dialect::RequestMetadata,
     std::{ops::RangeInclusive, time::Duration},
 };
 
@@ -76,7 +76,7 @@
 
 /// Memory that a request reserves, in tokens. Running answers are at all stages of their growth, so reserving every
 /// answer in full would leave memory unused.
-pub fn reserved_tokens(marks: &CallMarks) -> u64 {
+pub fn reserved_tokens(marks: &RequestMetadata) -> u64 {
     let expected = marks.answer_hint.unwrap_or(marks.answer_limit / 2);
     let expected = expected.min(marks.answer_limit);
     marks.prompt_tokens + (expected as f64 * RESERVED_ANSWER) as u64
--- a/src/relay/policy/prompt_cache.rs
+++ b/src/relay/policy/prompt_cache.rs
@@ -9,7 +9,7 @@
 use {
     crate::relay::{
         backend::BackendInfo,
-        dialect::{CacheChange, CacheNews, CacheQuestion},
+        dialect::{CacheChange, CacheQuery, CacheUpdate},
     },
     faststr::FastStr,
     std::{collections::HashMap, time::Duration},
@@ -51,16 +51,16 @@
 
 impl PromptCacheIndex {
     /// The query to send to an engine; `None` if its last report is recent enough.
-    pub fn query(&self, engine: &str, now: Duration) -> Option<CacheQuestion> {
+    pub fn query(&self, engine: &str, now: Duration) -> Option<CacheQuery> {
         let Some(cache) = self.engines.get(engine) else {
-            return Some(CacheQuestion::Whole);
+            return Some(CacheQuery::Full);
         };
         let is_recent = now.saturating_sub(cache.reported_at) < REPORT_TTL;
-        (!is_recent).then_some(CacheQuestion::Since(cache.next))
+        (!is_recent).then_some(CacheQuery::Since(cache.next))
     }
 
     /// Applies an engine's cache report.
-    pub fn update(&mut self, engine: &FastStr, report: CacheNews, now: Duration) {
+    pub fn update(&mut self, engine: &FastStr, report: CacheUpdate, now: Duration) {
         let known = self.engines.remove(engine);
         let parts = match known {
             Some(known) if known.epoch == report.epoch && !report.is_whole => known.parts,
--- a/src/relay/policy/source.rs
+++ b/src/relay/policy/source.rs
@@ -76,7 +76,7 @@
 /// Sorts the hosts of a zone by their precedence as its head: the strongest first, since the head serves all others,
 /// and by hash among equals.
 pub fn sort_readers(entries: &mut [HostEntry], zone: &str) {
-    entries.sort_by_key(|entry| Reverse((entry.strength, peer::draw(&entry.name, zone))));
+    entries.sort_by_key(|entry| Reverse((entry.link_mbps, peer::draw(&entry.name, zone))));
 }
 
 /// Where to get store updates from.
@@ -389,7 +389,7 @@
 
 // Among heads of equal strength the order depends on the zone, not on which of its hosts is the head.
 fn head_rank(entry: &HostEntry) -> Reverse<(u32, u64)> {
-    Reverse((entry.strength, peer::draw(&entry.zone, "readers")))
+    Reverse((entry.link_mbps, peer::draw(&entry.zone, "readers")))
 }
 
 fn by_zone(hosts: impl Iterator<Item = HostEntry>) -> BTreeMap<FastStr, Vec<HostEntry>> {
--- a/src/relay/request/handler.rs
+++ b/src/relay/request/handler.rs
@@ -1,10 +1,11 @@
-//! From a caller's request to its one answer.
+//! Handles a client's request: checks, routing, account limits, relaying and the response.
 
 use {
     super::{
-        answer::{self, RelayAnswer},
-        call::{self, RelayCall},
-        judge, plain, stream,
+        client_request::{self, ClientRequest},
+        plain,
+        response::{self, RelayResponse},
+        send_check, stream,
     },
     crate::{
         event,
@@ -21,21 +22,21 @@
     tokio::time::Instant,
 };
 
-/// When a caller is to come back to a host that has no configuration yet.
-const COME_BACK: Duration = Duration::from_millis(300);
+/// `Retry-After` while the host has no configuration yet, and on a route without a service.
+const RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// Answers a caller's request.
-pub async fn answer_caller(parts: Rc<RelayParts>, request: Request<Incoming>) -> RelayAnswer {
+/// Handles a client's request. A refusal is logged and becomes a response.
+pub async fn handle_request(parts: Rc<RelayParts>, request: Request<Incoming>) -> RelayResponse {
     let arrived = Instant::now();
     let (head, body) = request.into_parts();
-    let id = (parts.dialect.read_call)(&head.headers).id;
+    let id = (parts.dialect.read_request)(&head.headers).id;
     let path = head.uri.path().to_owned();
     let route = parts
         .routes()
         .and_then(|routes| find_route(&routes, &head).ok());
     let result = relay(&parts, head, body).await;
-    let mut answer = match result {
-        Ok(answer) => answer,
+    let mut response = match result {
+        Ok(response) => response,
         Err(refusal) => {
             event::emit(
                 &event::REQUEST_REFUSED,
@@ -48,36 +49,36 @@
                     ("why", &refusal.message),
                 ],
             );
-            answer::refused(&refusal)
+            response::refusal_response(&refusal)
         }
     };
-    let status = answer.status().as_u16();
+    let status = response.status().as_u16();
     let route = route.as_deref();
     parts.metrics.answered(route, status, arrived.elapsed());
     if parts.gate.is_stopping() {
         let close = http::HeaderValue::from_static("close");
-        answer.headers_mut().insert(header::CONNECTION, close);
+        response.headers_mut().insert(header::CONNECTION, close);
     }
-    answer
+    response
 }
 
 async fn relay(
     parts: &Rc<RelayParts>,
     head: Parts,
     body: Incoming,
-) -> Result<RelayAnswer, Refusal> {
+) -> Result<RelayResponse, Refusal> {
     let entry = parts.gate.enter()?;
     let routes = parts.routes().ok_or_else(not_configured)?;
     let limits = &routes.config().limits;
     check_headers(&head, limits)?;
     let route = find_route(&routes, &head)?;
-    let shown = (parts.dialect.read_call)(&head.headers).key;
-    parts.identify(&route, shown)?;
+    let api_key = (parts.dialect.read_request)(&head.headers).key;
+    parts.identify(&route, api_key)?;
     let service = routes.draw_service(&route).ok_or_else(|| {
         let text = format!("route {} leads to no service", route.name);
-        Refusal::not_run(RefusalCode::NoBackend, text).after(COME_BACK)
+        Refusal::not_run(RefusalCode::NoBackend, text).after(RETRY_AFTER)
     })?;
-    let call = call::read_call(
+    let request = client_request::read_request(
         head,
         body,
         route,
@@ -86,55 +87,55 @@
         &parts.clock,
     )
     .await?;
-    // Again: the body may have taken longer than a key was in force.
-    let account = parts.identify(&call.route, call.marks.key)?;
-    let call = call.of_account(account);
-    let call = judge::admit(parts, call, &service.name).await?;
-    let charge = charge(parts, &call).await?;
+    // Checked again, because the key may have expired while the body was read.
+    let account = parts.identify(&request.route, request.marks.key)?;
+    let request = request.with_account(account);
+    let request = send_check::admit(parts, request, &service.name).await?;
+    let charge = charge(parts, &request).await?;
     parts.count_request(&service.name);
-    let call = Rc::new(with_waited(parts, call));
-    let account = call.account.clone();
+    let request = Rc::new(with_prior_wait(parts, request));
+    let account = request.account.clone();
     let name = service.name.clone();
-    let answer = match is_engine_stream(&call, service.engine.is_some()) {
-        true => stream::relay_stream(parts.clone(), call, name).await,
-        false => plain::relay_plain(parts.clone(), call, name).await,
+    let response = match uses_engines(&request, service.engine.is_some()) {
+        true => stream::relay_stream(parts.clone(), request, name).await,
+        false => plain::relay_plain(parts.clone(), request, name).await,
     };
-    if let (Err(refusal), Some(account), Some(charge)) = (&answer, account, charge)
+    if let (Err(refusal), Some(account), Some(charge)) = (&response, account, charge)
         && refusal.verdict == RunVerdict::NotRun
     {
         parts.give_back(&account.name, charge);
     }
-    // In progress until the caller has its last byte.
-    Ok(answer?.map(|body| answer::kept_with(body, entry)))
+    // Counts as in progress until the client has received the last byte.
+    Ok(response?.map(|body| response::guarded_body(body, entry)))
 }
 
-// What the request uses of its account's limit.
-async fn charge(parts: &RelayParts, call: &RelayCall) -> Result<Option<UseCharge>, Refusal> {
-    let Some(account) = &call.account else {
+// Charges the request to its account's limit.
+async fn charge(parts: &RelayParts, request: &ClientRequest) -> Result<Option<UseCharge>, Refusal> {
+    let Some(account) = &request.account else {
         return Ok(None);
     };
-    let tokens = call.marks.prompt_tokens + call.marks.answer_limit;
-    let target = call.route.latency_target;
+    let tokens = request.marks.prompt_tokens + request.marks.answer_limit;
+    let target = request.route.latency_target;
     parts.let_in(account, tokens, target).await
 }
 
-// A caller that was refused before is known by the time that it still has.
-fn with_waited(parts: &RelayParts, call: RelayCall) -> RelayCall {
-    let Some(left) = call.marks.time_left else {
-        return call;
+// Estimates how long the client waited in earlier tries from the time that it has left.
+fn with_prior_wait(parts: &RelayParts, request: ClientRequest) -> ClientRequest {
+    let Some(left) = request.marks.time_left else {
+        return request;
     };
     let mut waits = parts.waits.borrow_mut();
-    let waited = waits.observe(&call.route.name, left);
-    call.with_waited(waited)
+    let prior_wait = waits.observe(&request.route.name, left);
+    request.with_prior_wait(prior_wait)
 }
 
-fn is_engine_stream(call: &RelayCall, has_engines: bool) -> bool {
-    call.route.kind.is_stream() && has_engines
+fn uses_engines(request: &ClientRequest, has_engines: bool) -> bool {
+    request.route.kind.is_stream() && has_engines
 }
 
 fn not_configured() -> Refusal {
     let text = "this host has no configuration yet";
-    Refusal::not_run(RefusalCode::NotConfigured, text).after(COME_BACK)
+    Refusal::not_run(RefusalCode::NotConfigured, text).after(RETRY_AFTER)
 }
 
 fn check_headers(head: &Parts, limits: &CallerLimits) -> Result<(), Refusal> {
@@ -153,8 +154,8 @@
 }
 
 fn find_route(routes: &RouteTable, head: &Parts) -> Result<Rc<RelayRoute>, Refusal> {
-    let named = head.headers.get(header::HOST);
-    let host = named.and_then(|value| value.to_str().ok());
+    let host_header = head.headers.get(header::HOST);
+    let host = host_header.and_then(|value| value.to_str().ok());
     let host = host.or_else(|| head.uri.host()).unwrap_or_default();
     routes.find(host, head.uri.path()).ok_or_else(|| {
         let text = format!("no route for host {host:?} and path {:?}", head.uri.path());
--- a/tests/relay_decisions.rs
+++ b/tests/relay_decisions.rs
@@ -97,7 +97,7 @@
                 now += millis(10);
                 let position = StorePosition::new(u32::from(era % 4), u64::from(*revision));
                 let before = (cluster.config_version(), cluster.backends_position());
-                cluster.offer_config(config(u64::from(*version)));
+                cluster.update_config(config(u64::from(*version)));
                 match is_list {
                     true => {
                         cluster.set_backends(Vec::new(), position, now);
@@ -164,7 +164,7 @@
         let mut other = ClusterState::new(millis(1_200));
         other.change_backends(vec![listed("w-1", 2)], at(2), millis(4_300));
         other.confirm(StoreKind::Backends, millis(4_300));
-        other.note_outage(millis(ended));
+        other.record_outage(millis(ended));
         other.change_backends(gone.clone(), at(3), millis(4_600));
         assert_eq!(other.usable().len(), kept);
     }
