--- a/src/relay/policy/crash_book.rs
+++ b/src/relay/policy/crash_book.rs
@@ -1,13 +1,14 @@
-//! Which requests end the backend servers that run them: what this host saw and what others told.
+//! Detects requests that crash the backend servers running them, from the crashes this host observed and those other
+//! hosts reported.
 //!
-//! A plain state machine. A server that ends has up to some twenty requests under it, and one of them may be the cause.
-//! Ends are counted by request and by server run: who was under three of them, and has not run well since, is held to be
-//! the cause and is refused by all hosts.
+//! A state machine without I/O. A server that crashes was running up to about twenty requests, any of which may be the
+//! cause. Crashes are counted per request, each server run once: a request that was running on three servers when they
+//! crashed, and has not completed since, is treated as the cause and rejected by all hosts.
 
 use {
     super::{
         crash_mark::{CrashMark, CrashNews},
-        crash_record::{CrashJudgement, CrashRecord, ENDS_TO_JUDGE},
+        crash_record::{CrashJudgement, CrashRecord, FATAL_CRASHES},
         digest::RequestDigest,
         findings_cache::{CachePosition, FindingsCache, MarkSource},
         loads::EngineKey,
@@ -16,74 +17,75 @@
     std::{cmp::Reverse, time::Duration},
 };
 
-/// Requests that are remembered. Each that is held to be fatal has cost three servers, so that whoever makes up others
-/// pushes out those under which the fewest ended first, the longest unseen of them: 512 records are some 100 kB.
-const RECORDS_MOST: usize = 512;
+/// Maximum number of request records; 512 take about 100 kB. Beyond it, the record with the fewest crashes is evicted,
+/// the least recently seen first. A request counts as fatal only after three crashes, so a flood of distinct requests
+/// evicts other records first.
+const MAX_RECORDS: usize = 512;
 
-/// How long a request is remembered that does not come again.
-const RECORD_LIFE: Duration = Duration::from_secs(1_800);
+/// How long a record is kept after its request was last seen.
+const RECORD_TTL: Duration = Duration::from_secs(1_800);
 
-/// Ends from which on all hosts are told: those under whom one server ended are twenty for each that is the cause, and
-/// only hosts that add up need them.
-const ENDS_TO_TELL: usize = 2;
+/// Minimum number of crashes for a record to be sent to all hosts. Each crash leaves up to twenty requests with a single
+/// crash, which only the hosts that aggregate reports need to know of.
+const MIN_CRASHES_TO_SHARE: usize = 2;
 
-/// What has become of a judgement.
+/// How the verdict on a request changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CrashChange {
-    /// The request is held to end its servers from now on.
+    /// The request now counts as fatal.
     Judged,
-    /// It no longer is.
+    /// The request no longer counts as fatal.
     Cleared,
 }
 
-/// All requests under which backend servers ended.
+/// The requests that were running on backend servers when those crashed.
 #[derive(Debug)]
 pub struct CrashBook {
     records: FindingsCache<RequestDigest, CrashRecord>,
 }
 
 impl CrashBook {
-    /// A book in which nothing stands; `id` is drawn at random.
+    /// An empty book; `id` is a random number that identifies it to other hosts.
     pub fn new(id: u64) -> Self {
         Self {
             records: FindingsCache::new(id),
         }
     }
 
-    /// What somebody has been told who was told everything; its revision grows with each change.
+    /// The position of a peer that has received everything; the revision increases with each change.
     pub fn place(&self) -> CachePosition {
         self.records.place()
     }
 
-    /// Whether no request is remembered.
+    /// Whether there is no record.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Requests that are remembered.
+    /// The number of records.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Requests that are held to end their servers.
+    /// The number of requests that count as fatal.
     pub fn fatal_count(&self) -> usize {
         self.fatal_digests().len()
     }
 
-    /// The requests that are held to end their servers.
+    /// The requests that count as fatal.
     pub fn fatal_digests(&self) -> Vec<RequestDigest> {
         let records = self.records.iter();
-        let fatal = records.filter(|(_, record)| record.count() >= ENDS_TO_JUDGE);
+        let fatal = records.filter(|(_, record)| record.count() >= FATAL_CRASHES);
         fatal.map(|(digest, _)| *digest).collect()
     }
 
-    /// What a request is held to be.
+    /// The current verdict on a request.
     pub fn judge(&self, digest: RequestDigest, now: Duration) -> CrashJudgement {
         let record = self.records.get(&digest);
         record.map_or(CrashJudgement::Harmless, |record| record.judge(now))
     }
 
-    /// A server's run ended under a request of this host.
+    /// Records that a server run crashed while it was running a request of this host.
     pub fn note_end(
         &mut self,
         digest: RequestDigest,
@@ -96,14 +98,14 @@
         })
     }
 
-    /// A request ran well here.
+    /// Records that a request of this host completed.
     pub fn note_good_run(&mut self, digest: RequestDigest, now: Duration) -> Option<CrashChange> {
         self.records.get(&digest)?;
         let at = PastTime::at(now);
         self.change(digest, at, MarkSource::Reported, now, CrashRecord::excuse)
     }
 
-    /// A request came that is remembered: its record lives on.
+    /// Extends the life of a request's record, if there is one, because the request was received again.
     pub fn note_seen(&mut self, digest: RequestDigest, now: Duration) {
         let at = PastTime::at(now);
         if self.records.get(&digest).is_some() {
@@ -113,7 +115,7 @@
         }
     }
 
-    /// Whether a request may be tried now, once by all hosts together; if so, the trial begins.
+    /// Whether a fatal request may be sent once more as a trial, one for all hosts together. Records the trial if so.
     pub fn grant_trial(&mut self, digest: RequestDigest, now: Duration) -> bool {
         let is_due = self.judge(digest, now) == CrashJudgement::TrialDue;
         if is_due {
@@ -126,7 +128,7 @@
         is_due
     }
 
-    /// Takes what another host told; gives the requests of which the judgement has changed.
+    /// Merges the records of another host; returns the requests whose verdict changed.
     pub fn take(
         &mut self,
         marks: &[CrashMark],
@@ -134,19 +136,19 @@
         now: Duration,
     ) -> Vec<(RequestDigest, CrashChange)> {
         let changes = marks.iter().filter_map(|mark| {
-            let theirs = &CrashRecord::told(mark, now);
-            if is_old(theirs, now) {
+            let received = &CrashRecord::told(mark, now);
+            if is_expired(received, now) {
                 return None;
             }
-            let change = self.change(mark.digest, theirs.seen(), source, now, |record| {
-                record.merge(theirs)
+            let change = self.change(mark.digest, received.seen(), source, now, |record| {
+                record.merge(received)
             });
             Some((mark.digest, change?))
         });
         changes.collect()
     }
 
-    // Changes a request's record, or begins one as of `seen`.
+    // Changes a request's record, creating one last seen at `seen` if needed.
     fn change(
         &mut self,
         digest: RequestDigest,
@@ -161,7 +163,7 @@
             return None;
         }
         let is_fatal = self.is_fatal(digest);
-        self.forget(now);
+        self.evict(now);
         match (was_fatal, is_fatal) {
             (false, true) => Some(CrashChange::Judged),
             (true, false) => Some(CrashChange::Cleared),
@@ -171,12 +173,12 @@
 
     fn is_fatal(&self, digest: RequestDigest) -> bool {
         let record = self.records.get(&digest);
-        record.is_some_and(|record| record.count() >= ENDS_TO_JUDGE)
+        record.is_some_and(|record| record.count() >= FATAL_CRASHES)
     }
 
-    fn forget(&mut self, now: Duration) {
-        self.records.retain(|_, record| !is_old(record, now));
-        while self.records.len() > RECORDS_MOST {
+    fn evict(&mut self, now: Duration) {
+        self.records.retain(|_, record| !is_expired(record, now));
+        while self.records.len() > MAX_RECORDS {
             let records = self.records.iter();
             let least =
                 records.min_by_key(|(digest, record)| (record.count(), record.seen(), **digest));
@@ -187,11 +189,11 @@
         }
     }
 
-    /// What an asker is to know of which all hosts are told; `known` is what it has been told of this book.
+    /// The records for all hosts that a peer lacks; `known` is the position up to which it received this book.
     pub fn news_since(&self, known: CachePosition, now: Duration) -> CrashNews {
-        // Those that are excused too: others may have heard of the ends alone.
+        // Includes excused crashes: a peer may have received them before they were excused.
         let told = self.records.since(known);
-        let told = told.filter(|(_, record)| record.runs() >= ENDS_TO_TELL);
+        let told = told.filter(|(_, record)| record.runs() >= MIN_CRASHES_TO_SHARE);
         let marks = told
             .map(|(digest, record)| record.mark(*digest, now))
             .collect();
@@ -201,21 +203,22 @@
         }
     }
 
-    /// What a host that adds up, or tells others, is to hear of this one, after a revision of this book. Where it was never
-    /// told anything that is what has changed lately: whoever added up before has told the rest.
+    /// The changes after a revision that are reported to an aggregating or distributing host. A host that received no
+    /// report yet gets the recent changes only: the previous aggregator has distributed the earlier ones.
     pub fn reported_since(&self, revision: Option<u64>, now: Duration) -> Vec<CrashMark> {
         let reported = self.records.reported_since(revision, now);
         let marks = reported.map(|(digest, record)| record.mark(*digest, now));
         marks.collect()
     }
 
-    /// A request that is held to end its servers, as it is told; none where it no longer is.
+    /// The record of a fatal request in the form sent to other hosts; `None` if the request does not count as fatal.
     pub fn fatal_mark(&self, digest: RequestDigest, now: Duration) -> Option<CrashMark> {
         let record = self.records.get(&digest)?;
         self.is_fatal(digest).then(|| record.mark(digest, now))
     }
 
-    /// What has changed last, of so many requests at the most: hosts that all tell each other need no more.
+    /// At most `most` records, those with the most crashes first, then the most recently changed. Enough for hosts that
+    /// all exchange records with each other.
     pub fn latest(&self, most: usize, now: Duration) -> Vec<CrashMark> {
         let mut latest: Vec<(&RequestDigest, &CrashRecord)> = self.records.iter().collect();
         latest.sort_by_key(|(digest, record)| {
@@ -229,6 +232,6 @@
     }
 }
 
-fn is_old(record: &CrashRecord, now: Duration) -> bool {
-    record.seen().age(now) >= RECORD_LIFE
+fn is_expired(record: &CrashRecord, now: Duration) -> bool {
+    record.seen().age(now) >= RECORD_TTL
 }
--- a/src/relay/policy/crash_mark.rs
+++ b/src/relay/policy/crash_mark.rs
@@ -1,5 +1,5 @@
-//! What hosts tell each other of requests under which backend servers ended: digests, hashes and ages, nothing of the
-//! requests themselves.
+//! The records of crashed server runs that hosts exchange. They hold digests, hashes and ages, and nothing of the
+//! contents of requests.
 
 use {
     super::{digest::RequestDigest, findings_cache::CacheUpdates, loads::EngineKey},
@@ -8,45 +8,46 @@
     std::time::Duration,
 };
 
-/// The end of one run of a backend server under a request, as it is told.
+/// The crash of one server run while it was running a request, as sent to other hosts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndMark {
-    /// The run.
+    /// The server run.
     pub run: EngineKey,
-    /// How long ago it ended.
+    /// How long ago it crashed.
     pub age: Duration,
-    /// The request has run well since.
+    /// The request has completed since.
     pub is_excused: bool,
 }
 
-/// What a host knows of one request, as it is told.
+/// A host's record of one request, as sent to other hosts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashMark {
-    /// The request.
+    /// The digest of the request.
     pub digest: RequestDigest,
-    /// The runs of backend servers that ended under it.
+    /// The server runs that crashed while they were running it.
     pub ends: Vec<EndMark>,
-    /// How long ago each trial of it was.
+    /// How long ago each trial was.
     pub trials: Vec<Duration>,
-    /// How long ago it last came.
+    /// How long ago the request was last seen.
     pub seen: Duration,
 }
 
-/// A request that is held to end its servers, as a host's entry in the store keeps it for hosts that all start at once.
+/// A fatal request, as kept in a host's store entry so that it survives a restart of all hosts at once.
 ///
-/// Without ages, since no clock outlives them all: its trials are as of when it is read, at worst that much later.
+/// It has no ages, since no host's clock survives such a restart. Its crashes and trials count as having happened when it
+/// is read, so the next trial comes later by at most the time since they happened.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeptJudgement {
-    /// The request's digest in hex: the store's readers need not know numbers of this size.
+    /// The digest of the request in hexadecimal, since readers of the store may not support 128-bit integers.
     pub digest: FastStr,
-    /// Hashes of the runs that ended.
+    /// Hashes of the server runs that crashed.
     pub runs: Vec<u32>,
-    /// How often it was tried.
+    /// The number of trials so far.
     pub trials: u8,
 }
 
 impl KeptJudgement {
-    /// The judgement that a mark shows.
+    /// The stored form of a record; excused crashes are left out.
     pub fn of(mark: &CrashMark) -> Self {
         let counted = mark.ends.iter().filter(|end| !end.is_excused);
         Self {
@@ -56,7 +57,7 @@
         }
     }
 
-    /// The mark of this judgement, as of now; none where its digest is not one.
+    /// The record, with all ages zero; `None` if the digest is not valid hexadecimal.
     pub fn mark(&self) -> Option<CrashMark> {
         let digest = u128::from_str_radix(&self.digest, 16).ok()?;
         let ends = self.runs.iter().map(|run| EndMark {
@@ -73,5 +74,5 @@
     }
 }
 
-/// What an asker lacks of a book of requests that end their servers.
+/// The records of a [`CrashBook`](super::crash_book::CrashBook) that a peer lacks.
 pub type CrashNews = CacheUpdates<CrashMark>;
--- a/src/relay/policy/crash_record.rs
+++ b/src/relay/policy/crash_record.rs
@@ -1,4 +1,4 @@
-//! What is known of one request under which backend servers ended.
+//! The record of one request that was running on backend servers when they crashed.
 
 use {
     super::{
@@ -10,62 +10,62 @@
     std::time::Duration,
 };
 
-/// Runs of backend servers that end under a request until it is held to be the cause. Operators allow three.
-pub const ENDS_TO_JUDGE: usize = 3;
+/// Crashed server runs after which a request counts as their cause. Operators accept the loss of three.
+pub const FATAL_CRASHES: usize = 3;
 
-/// Runs that a record keeps: more than are judged by, so that one that is taken back does not bring a run into
-/// consideration again that was forgotten.
-const RUNS_KEPT: usize = 8;
+/// Crashed runs kept per record. More than [`FATAL_CRASHES`], so that a run that was dropped does not count again when
+/// another one is excused.
+const MAX_RUNS: usize = 8;
 
-/// How long a request that is held to end its servers is refused before it may be tried, and tried again: nobody who did
-/// nothing is refused for longer than a minute. One trial alone may fail by chance: with a second one only after five
-/// minutes one of six simulations of ten minutes had somebody refused for longer (tests/relay_crash_innocents.rs). Each
-/// trial of one that is the cause costs a server, and operators allow three sends.
-const TRIAL_PAUSES: [Duration; 2] = [Duration::from_secs(40), Duration::from_secs(12)];
+/// How long a fatal request is rejected before its first and its second trial, so that a harmless request is rejected for
+/// at most a minute. One trial may fail by chance: with the second one only after five minutes, one of six simulations of
+/// ten minutes rejected a harmless request for longer (tests/relay_crash_innocents.rs). Each trial of a request that is
+/// the cause costs a server, and operators accept three sends.
+const TRIAL_DELAYS: [Duration; 2] = [Duration::from_secs(40), Duration::from_secs(12)];
 
-/// When the caller of one that failed both trials is to come back.
-const COME_BACK: Duration = Duration::from_secs(60);
+/// Retry delay given to callers of a request that failed both trials.
+const RETRY_AFTER: Duration = Duration::from_secs(60);
 
-/// Least time by which a request has to have come again for its record to live on: each time is told to all hosts.
-const SEEN_STEP: Duration = Duration::from_secs(300);
+/// Minimum interval between updates of the time a request was last seen, since each update is sent to all hosts.
+const SEEN_INTERVAL: Duration = Duration::from_secs(300);
 
-// The end of one run of a backend server under the request.
+// The crash of one server run while it was running the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct ServerEnd {
+struct ServerCrash {
     run: EngineKey,
-    // By the first who told of it.
+    // The earliest time that any host reported.
     at: PastTime,
-    // The request has run well since: others ran there too.
+    // The request has completed since, so another request on that run was the cause.
     is_excused: bool,
 }
 
-/// What a request is held to be.
+/// The verdict on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CrashJudgement {
-    /// One like any other.
+    /// No crash counts against it.
     Harmless,
-    /// Some servers ended under it, too few to say that it was the cause.
+    /// This many crashes count against it, too few to call it the cause.
     Suspected(usize),
-    /// It ends its servers: it is to be sent to none for so long.
+    /// It crashes servers and must not be sent to any for this long.
     Fatal(Duration),
-    /// It ends its servers, as far as is known, and may be tried once by all hosts together.
+    /// It counts as crashing servers, and one trial is due, one for all hosts together.
     TrialDue,
 }
 
-/// What is known of one request. Two records of the same request can be merged in any order, any number of times: hosts
-/// that heard the same hold the same.
+/// The crashes and trials of one request. Merging is commutative and idempotent, so hosts that received the same records
+/// hold the same state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CrashRecord {
-    // By run, in their order.
-    ends: Vec<ServerEnd>,
-    // When each trial was.
+    // Sorted by run.
+    ends: Vec<ServerCrash>,
+    // When each trial began.
     trials: Vec<PastTime>,
-    // When the request last came, or ended a server.
+    // When the request was last received, or last running on a server that crashed.
     seen: PastTime,
 }
 
 impl CrashRecord {
-    /// A record without an end.
+    /// A record without crashes.
     pub fn new(now: PastTime) -> Self {
         Self {
             ends: Vec::new(),
@@ -74,12 +74,12 @@
         }
     }
 
-    /// A record as another host told it.
+    /// A record received from another host.
     pub fn told(mark: &CrashMark, now: Duration) -> Self {
         let ago = |age: Duration| PastTime::at(now).before(age);
         let mut record = Self::new(ago(mark.seen));
         for end in &mark.ends {
-            record.add(ServerEnd {
+            record.add(ServerCrash {
                 run: end.run,
                 at: ago(end.age),
                 is_excused: end.is_excused,
@@ -90,7 +90,7 @@
         record
     }
 
-    /// The record as other hosts are told it.
+    /// The record in the form sent to other hosts.
     pub fn mark(&self, digest: RequestDigest, now: Duration) -> CrashMark {
         let ends = self.ends.iter().map(|end| EndMark {
             run: end.run,
@@ -105,59 +105,59 @@
         }
     }
 
-    /// When it last came, or ended a server.
+    /// When the request was last received, or last running on a server that crashed.
     pub fn seen(&self) -> PastTime {
         self.seen
     }
 
-    /// Ends that are known, those that are excused too.
+    /// The number of crashes, excused ones included.
     pub fn runs(&self) -> usize {
         self.ends.len()
     }
 
-    /// Ends that count: server runs, whoever saw them.
+    /// The number of crashes that count; each server run counts once, however many hosts saw it crash.
     pub fn count(&self) -> usize {
         self.ends.iter().filter(|end| !end.is_excused).count()
     }
 
-    /// A run ended under the request. Gives whether that is new.
+    /// Records the crash of a run. Returns whether it was not known before.
     pub fn note_end(&mut self, run: EngineKey, at: PastTime) -> bool {
         self.note_seen(at);
-        self.add(ServerEnd {
+        self.add(ServerCrash {
             run,
             at,
             is_excused: false,
         })
     }
 
-    /// The request ran well: the ends so far were not its doing. Gives whether there were any.
+    /// Excuses all crashes so far, because the request completed. Returns whether any of them counted.
     pub fn excuse(&mut self) -> bool {
-        let had_any = self.count() > 0;
+        let any_counted = self.count() > 0;
         for end in &mut self.ends {
             end.is_excused = true;
         }
-        had_any
+        any_counted
     }
 
-    /// The request came again. Gives whether others are to hear of it.
+    /// Records that the request was received again. Returns whether other hosts need to know.
     pub fn note_seen(&mut self, at: PastTime) -> bool {
-        let is_later = at.before(SEEN_STEP) >= self.seen;
+        let is_later = at.before(SEEN_INTERVAL) >= self.seen;
         if is_later {
             self.seen = at;
         }
         is_later
     }
 
-    /// A trial begins.
+    /// Records that a trial begins.
     pub fn note_trial(&mut self, now: PastTime) {
         assert!(
-            self.trials.len() < TRIAL_PAUSES.len(),
-            "a request that ends its servers is tried twice at the most"
+            self.trials.len() < TRIAL_DELAYS.len(),
+            "a fatal request gets at most two trials"
         );
         self.trials.push(now);
     }
 
-    /// Takes what another host knows. Gives whether any of it is new.
+    /// Merges another host's record. Returns whether this record changed.
     pub fn merge(&mut self, other: &CrashRecord) -> bool {
         let before = self.clone();
         for end in &other.ends {
@@ -168,41 +168,41 @@
         *self != before
     }
 
-    /// What the request is held to be.
+    /// The current verdict.
     pub fn judge(&self, now: Duration) -> CrashJudgement {
         match self.count() {
             0 => CrashJudgement::Harmless,
-            count if count < ENDS_TO_JUDGE => CrashJudgement::Suspected(count),
+            count if count < FATAL_CRASHES => CrashJudgement::Suspected(count),
             _ => self.judge_fatal(now),
         }
     }
 
     fn judge_fatal(&self, now: Duration) -> CrashJudgement {
         let counted = self.ends.iter().filter(|end| !end.is_excused);
-        let times = counted.map(|end| end.at).chain(self.trials.iter().copied());
-        let since = times.max().map_or(Duration::ZERO, |last| last.age(now));
-        let Some(pause) = TRIAL_PAUSES.get(self.trials.len()) else {
-            // Refused for as long as it keeps coming.
-            return CrashJudgement::Fatal(COME_BACK);
+        let events = counted.map(|end| end.at).chain(self.trials.iter().copied());
+        let since = events.max().map_or(Duration::ZERO, |last| last.age(now));
+        let Some(delay) = TRIAL_DELAYS.get(self.trials.len()) else {
+            // Rejected for as long as it is being received.
+            return CrashJudgement::Fatal(RETRY_AFTER);
         };
-        match pause.checked_sub(since) {
+        match delay.checked_sub(since) {
             Some(left) if !left.is_zero() => CrashJudgement::Fatal(left),
             _ => CrashJudgement::TrialDue,
         }
     }
 
-    // The earliest time of an end counts: on its way to other hosts it seems later, and a time that grew with each
-    // telling would be told forever.
-    fn add(&mut self, end: ServerEnd) -> bool {
+    // Keeps the earliest time of a crash: the delay of each transmission makes it seem later, and a time that moved with
+    // each message would be sent forever.
+    fn add(&mut self, end: ServerCrash) -> bool {
         match self.ends.binary_search_by_key(&end.run, |known| known.run) {
-            Ok(place) => {
-                let known = &mut self.ends[place];
+            Ok(index) => {
+                let known = &mut self.ends[index];
                 known.at = known.at.min(end.at);
                 known.is_excused |= end.is_excused;
                 false
             }
-            Err(place) => {
-                self.ends.insert(place, end);
+            Err(index) => {
+                self.ends.insert(index, end);
                 self.drop_oldest();
                 true
             }
@@ -210,19 +210,19 @@
     }
 
     fn drop_oldest(&mut self) {
-        if self.ends.len() <= RUNS_KEPT {
+        if self.ends.len() <= MAX_RUNS {
             return;
         }
         let oldest = self.ends.iter().enumerate();
         let oldest = oldest.min_by_key(|(_, end)| (!end.is_excused, end.at, end.run));
-        if let Some((place, _)) = oldest {
-            self.ends.remove(place);
+        if let Some((index, _)) = oldest {
+            self.ends.remove(index);
         }
     }
 
     fn add_trials(&mut self, trials: &[PastTime]) {
-        for (number, at) in trials.iter().enumerate() {
-            match self.trials.get_mut(number) {
+        for (index, at) in trials.iter().enumerate() {
+            match self.trials.get_mut(index) {
                 Some(known) => *known = (*known).min(*at),
                 None => self.trials.push(*at),
             }
--- a/src/relay/policy/digest.rs
+++ b/src/relay/policy/digest.rs
@@ -1,4 +1,4 @@
-//! Which request it is, whoever brings it and under whatever id: callers send the same one again, at any host.
+//! Identifies a request by its contents, since callers may send it again to any host and under another id.
 
 use {
     blake3::Hasher,
@@ -6,32 +6,35 @@
     std::fmt,
 };
 
-/// What a request is, as far as the work at a backend server goes: its client account, its path and query, its body.
+/// A digest of what determines a request's work at a backend server: its client account, its path and query, its body.
 ///
-/// Half of a BLAKE3 sum: nobody can make a request that is taken for another caller's, and nothing of a body can be read
-/// from it. One of 64 KiB takes 30 to 39 µs (test `a_large_body_is_summed_up_soon`); SHA-256 took 49 µs with the
-/// processor's own instructions for it, which not all have.
+/// Half of a BLAKE3 hash, so that nobody can forge a request with the digest of another caller's request, and a body
+/// cannot be recovered from it. Hashing 64 KiB takes 30 to 39 µs (test `a_large_body_is_hashed_quickly`); SHA-256 took
+/// 49 µs with dedicated CPU instructions, which not all processors have.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestDigest(pub u128);
 
 impl RequestDigest {
-    /// The digest of a request; `account` is empty where none is known.
+    /// The digest of a request; `account` is empty if it is not known.
     pub fn of(account: &str, target: &str, body: &[u8]) -> Self {
-        let mut sum = Hasher::new();
+        let mut hasher = Hasher::new();
         for part in [account.as_bytes(), target.as_bytes()] {
-            // Lengths keep what belongs to one part from passing for the next one's.
-            sum.update(&(part.len() as u64).to_le_bytes());
-            sum.update(part);
+            // The length prefix keeps bytes from moving between parts without changing the digest.
+            hasher.update(&(part.len() as u64).to_le_bytes());
+            hasher.update(part);
         }
-        sum.update(body);
-        let whole = sum.finalize();
-        let half = whole.as_bytes().first_chunk().expect("it has 32 bytes");
+        hasher.update(body);
+        let hash = hasher.finalize();
+        let half = hash
+            .as_bytes()
+            .first_chunk()
+            .expect("a BLAKE3 hash has 32 bytes");
         Self(u128::from_le_bytes(*half))
     }
 }
 
 impl fmt::Display for RequestDigest {
-    // Enough to tell some thousand requests of a log apart.
+    // The low 64 bits, enough to distinguish thousands of requests in a log.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}", self.0 as u64)
     }
--- a/src/relay/policy/limit_book.rs
+++ b/src/relay/policy/limit_book.rs
@@ -1,53 +1,54 @@
-//! Which backend servers are rate-limited, as far as this host knows: those that name how many requests a second they take
-//! from all hosts together; and the permits at them that this host holds.
+//! The rate-limited backend servers that this host knows of, and the permits it holds for them. Such a server states how
+//! many requests a second it accepts from all hosts together.
 //!
-//! A plain state machine. What it holds grows with the rate-limited servers, not with those that are listed.
+//! A state machine without I/O. Its size grows with the number of rate-limited servers, not with the number of listed ones.
 
 use {
     super::{
         loads::EngineKey,
         past_time::PastTime,
-        permit_allocator::{PERMITS_LEAST, PermitGrant, PermitRequest},
+        permit_allocator::{MIN_PERMITS_PER_SECOND, PermitGrant, PermitRequest},
         server_limit::ServerLimit,
     },
     std::{collections::BTreeMap, time::Duration},
     xxhash_rust::xxh3,
 };
 
-/// How long a permit is held that no request of this host has used: it counts as used where it was allocated.
-const PERMIT_LIFE: Duration = Duration::from_millis(300);
+/// How long an unused permit stays valid. The allocating host counts it as used from the start.
+const PERMIT_TTL: Duration = Duration::from_millis(300);
 
-/// How long a host goes by it that no permit is left, at the most: other hosts may leave theirs.
-const EMPTY_TIME: Duration = Duration::from_millis(250);
+/// Maximum time for which a denial is cached, since other hosts may leave their permits unused.
+const DENIAL_CACHE_TIME: Duration = Duration::from_millis(250);
 
-/// Time after which a rate-limited server is sent a request although others have room, to hear whether it still is: by the host
-/// that allocates the permits there, which knows whatever others heard; by others only where that one has no requests.
-const LOOK_TIME: Duration = Duration::from_millis(800);
-const AWAY_LOOK_TIME: Duration = Duration::from_secs(5);
+/// Age of the last reported limit after which a server gets a request although others have capacity, to find out whether
+/// it is still rate-limited. The host that allocates its permits probes first, since it receives what others heard; the
+/// other hosts only probe if that host has no requests.
+const PROBE_INTERVAL: Duration = Duration::from_millis(800);
+const REMOTE_PROBE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Time whose requests are asked for together.
-const ASK_AHEAD: Duration = Duration::from_millis(250);
+/// Period whose requests are covered by one permit request.
+const PREFETCH_PERIOD: Duration = Duration::from_millis(250);
 
-/// Most permits that are asked for together.
-const PERMITS_MOST: u32 = 16;
+/// Maximum number of permits in one permit request.
+const MAX_PERMITS: u32 = 16;
 
-/// How long a limit is believed that nobody hears renewed, and its end told on: whoever sends there hears within seconds what
-/// is so, and what is remembered for nobody is forgotten at last.
-pub(super) const BELIEF_LIFE: Duration = Duration::from_secs(60);
+/// How long a reported limit, or the end of one, is kept without being confirmed. Hosts that send to the server learn its
+/// current state within seconds, so this only removes entries of servers that get no requests.
+pub(super) const LIMIT_TTL: Duration = Duration::from_secs(60);
 
-/// Longest time that a caller is told to stay away: a server's limit may end any time.
-const WAIT_MOST: Duration = Duration::from_secs(30);
+/// Maximum retry delay given to a caller, since a server's limit may end at any time.
+const MAX_WAIT: Duration = Duration::from_secs(30);
 
-/// How often a limit that changes is shown to operators.
-const SHOW_PAUSE: Duration = Duration::from_secs(1);
+/// Minimum interval between reports of a changed limit to operators.
+const SHOW_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a server said of its limit, and since when that is surely so.
+/// The limit that a server reported, and the time from which it is known to apply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LimitSaying {
-    /// The limit; none where it named none.
+    /// The limit; `None` if the server reported none.
     pub limit: Option<ServerLimit>,
-    /// When the request was sent whose answer said so. Of two answers the one to the later request is the newer, in
-    /// whichever order they are read.
+    /// When the request was sent whose response reported it. Of two responses, the one to the later request is the newer
+    /// one, whichever is read first.
     pub said: PastTime,
 }
 
@@ -56,25 +57,25 @@
 pub enum PermitState {
     /// The server is not rate-limited.
     Free,
-    /// It is rate-limited, and a permit is held.
+    /// The server is rate-limited, and this host holds a permit.
     Held,
-    /// It is rate-limited, and its owner is to be asked.
+    /// The server is rate-limited, and the owner of its permits must be asked.
     Ask,
-    /// No permit is left; one is likely after this time.
+    /// No permit is available; one is likely after this time.
     Empty(Duration),
 }
 
-/// When a permit is likely, and at which server.
+/// The time until a permit for a server is likely.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PermitWait {
     /// The server.
     pub server: EngineKey,
-    /// After how long.
+    /// The time until then.
     pub time: Duration,
 }
 
 impl PermitWait {
-    /// The shorter one.
+    /// The shorter of two waits.
     pub fn least(one: Option<Self>, other: Self) -> Self {
         match one {
             Some(one) if one.time <= other.time => one,
@@ -83,32 +84,32 @@
     }
 }
 
-// That no permit is left, for requests of a rank or less urgent ones.
+// A cached denial for requests of a priority rank and less urgent ones.
 #[derive(Debug, Clone, Copy)]
-struct DeniedPermits {
+struct CachedDenial {
     rank: u8,
     until: Duration,
-    // When the next caller that is sent away is to come back.
-    next: Duration,
+    // When the next rejected caller should retry.
+    retry_at: Duration,
 }
 
-// What is known of a rate-limited server.
+// The state of a rate-limited server.
 #[derive(Debug, Clone)]
 struct KnownLimit {
     saying: LimitSaying,
     limit: ServerLimit,
-    // The limit that operators were shown last, and when.
+    // The limit last reported to operators, and when.
     shown: ServerLimit,
     shown_at: Duration,
     held: u32,
     held_until: Duration,
-    empty: Option<DeniedPermits>,
-    // This host allocates the permits there itself.
+    denial: Option<CachedDenial>,
+    // Whether this host allocates the server's permits.
     is_own: bool,
-    // Permits used in the present period of asking ahead and in the one before, and when the present one began.
+    // Permits used in the current prefetch period and in the previous one, and when the current one began.
     used: u32,
-    used_before: u32,
-    period: Duration,
+    previous_used: u32,
+    period_start: Duration,
 }
 
 impl KnownLimit {
@@ -120,18 +121,18 @@
             shown_at: now,
             held: 0,
             held_until: now,
-            empty: None,
+            denial: None,
             is_own: false,
             used: 0,
-            used_before: 0,
-            period: now,
+            previous_used: 0,
+            period_start: now,
         }
     }
 
     fn take(&mut self, saying: LimitSaying, limit: ServerLimit) {
-        // More than before: those who were told that nothing is left may ask again.
+        // A higher limit may have permits for requests that were denied.
         if limit > self.limit {
-            self.empty = None;
+            self.denial = None;
         }
         (self.saying, self.limit) = (saying, limit);
     }
@@ -143,32 +144,36 @@
         }
     }
 
-    fn empty(&self, rank: u8, now: Duration) -> Option<DeniedPermits> {
-        self.empty
-            .filter(|empty| now < empty.until && rank >= empty.rank)
+    fn denial(&self, rank: u8, now: Duration) -> Option<CachedDenial> {
+        self.denial
+            .filter(|denial| now < denial.until && rank >= denial.rank)
     }
 
     fn note_used(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.period);
-        if passed >= ASK_AHEAD {
-            self.used_before = if passed < ASK_AHEAD * 2 { self.used } else { 0 };
+        let passed = now.saturating_sub(self.period_start);
+        if passed >= PREFETCH_PERIOD {
+            self.previous_used = if passed < PREFETCH_PERIOD * 2 {
+                self.used
+            } else {
+                0
+            };
             self.used = 0;
-            self.period = now;
+            self.period_start = now;
         }
         self.used += 1;
     }
 }
 
-/// The rate-limited servers.
+/// The rate-limited servers, and the permits that this host holds for them.
 #[derive(Debug, Default)]
 pub struct LimitBook {
-    // Another one at each host.
+    // Differs between hosts.
     seed: u64,
     limits: BTreeMap<EngineKey, KnownLimit>,
 }
 
 impl LimitBook {
-    /// The rate-limited servers as a host of this name knows them: none yet.
+    /// An empty book for the host of this name.
     pub fn new(host: &str) -> Self {
         Self {
             seed: xxh3::xxh3_64(host.as_bytes()),
@@ -176,65 +181,66 @@
         }
     }
 
-    /// The rate-limited servers.
+    /// The keys of the rate-limited servers.
     pub fn servers(&self) -> Vec<EngineKey> {
         self.limits.keys().copied().collect()
     }
 
-    /// Whether this host allocates the permits at a server.
+    /// Sets whether this host allocates the permits of a server.
     pub fn set_own(&mut self, server: EngineKey, is_own: bool) {
         if let Some(known) = self.limits.get_mut(&server) {
             known.is_own = is_own;
         }
     }
 
-    /// The place of a server in the order in which this host goes to those that are alike otherwise: those without a limit first,
-    /// and those that have not said for a while whether they still are; then those at which it allocates the permits itself,
-    /// without a question; then each host goes to others first.
+    /// The sort key of a server among servers that are otherwise equal. Servers without a limit come first, together with
+    /// those whose limit has not been confirmed for a while; then those whose permits this host allocates itself and so
+    /// needs no request to another host; then the others, in a pseudo-random order that differs between hosts.
     pub fn order(&self, server: EngineKey, now: Duration) -> u64 {
         let Some(known) = self.limits.get(&server) else {
             return 0;
         };
-        let look_time = if known.is_own {
-            LOOK_TIME
+        let probe_interval = if known.is_own {
+            PROBE_INTERVAL
         } else {
-            AWAY_LOOK_TIME
+            REMOTE_PROBE_INTERVAL
         };
         match known.is_own {
-            _ if known.saying.age(now) >= look_time => 0,
+            _ if known.saying.age(now) >= probe_interval => 0,
             true => 1,
             false => xxh3::xxh3_64_with_seed(&server.0.to_le_bytes(), self.seed).max(2),
         }
     }
 
-    /// The limit that a server names; none where it is not rate-limited as far as is known.
+    /// The limit of a server; `None` if it is not known to be rate-limited.
     pub fn limit(&self, server: EngineKey) -> Option<ServerLimit> {
         self.limits.get(&server).map(|known| known.limit)
     }
 
-    /// How long ago the request was sent whose answer last told of a server's limit; zero where none is known.
+    /// The age of a server's limit, counted from when the request was sent whose response reported it; zero if it has no
+    /// limit.
     pub fn age(&self, server: EngineKey, now: Duration) -> Duration {
         let known = self.limits.get(&server);
         known.map_or(Duration::ZERO, |known| known.saying.age(now))
     }
 
-    /// Permits at a server that this host holds.
+    /// The number of permits that this host holds for a server.
     pub fn held(&self, server: EngineKey, now: Duration) -> u32 {
         self.limits.get(&server).map_or(0, |known| known.held(now))
     }
 
-    /// How many servers are rate-limited.
+    /// The number of rate-limited servers.
     pub fn len(&self) -> usize {
         self.limits.len()
     }
 
-    /// Whether none is.
+    /// Whether no server is rate-limited.
     pub fn is_empty(&self) -> bool {
         self.limits.is_empty()
     }
 
-    /// Takes what a server said, from its own answer or from another host. Gives the limit that operators were shown
-    /// before, where they are to be shown another one now.
+    /// Records what a server reported, read from its response or received from another host. If the change should be
+    /// reported to operators, returns the limit last reported to them.
     pub fn take(
         &mut self,
         server: EngineKey,
@@ -256,7 +262,7 @@
             return Some(Some(shown));
         };
         known.take(saying, limit);
-        let is_due = now.saturating_sub(known.shown_at) >= SHOW_PAUSE;
+        let is_due = now.saturating_sub(known.shown_at) >= SHOW_INTERVAL;
         if limit == shown || !is_due {
             return None;
         }
@@ -264,7 +270,7 @@
         Some(Some(shown))
     }
 
-    /// Whether a request of a rank may be sent to a server now.
+    /// Whether a request of a priority rank may be sent to a server now.
     pub fn permit(&self, server: EngineKey, rank: u8, now: Duration) -> PermitState {
         let Some(known) = self.limits.get(&server) else {
             return PermitState::Free;
@@ -272,13 +278,13 @@
         if known.held(now) > 0 {
             return PermitState::Held;
         }
-        match known.empty(rank, now) {
-            Some(empty) => PermitState::Empty(empty.next.saturating_sub(now).min(WAIT_MOST)),
+        match known.denial(rank, now) {
+            Some(denial) => PermitState::Empty(denial.retry_at.saturating_sub(now).min(MAX_WAIT)),
             None => PermitState::Ask,
         }
     }
 
-    /// Uses a permit that is held, if there is one.
+    /// Uses a held permit. Returns whether there was one.
     pub fn use_permit(&mut self, server: EngineKey, now: Duration) -> bool {
         let Some(known) = self.limits.get_mut(&server) else {
             return false;
@@ -291,71 +297,72 @@
         true
     }
 
-    /// A permit was taken and no request was sent for it: the next one may have it.
+    /// Returns a permit for which no request was sent, so that the next request can use it.
     pub fn give_back(&mut self, server: EngineKey, now: Duration) {
         if let Some(known) = self.limits.get_mut(&server) {
             known.held = known.held(now) + 1;
-            known.held_until = known.held_until.max(now + PERMIT_LIFE);
+            known.held_until = known.held_until.max(now + PERMIT_TTL);
         }
     }
 
-    /// What the owner of a server's permits is to be asked for a request of a rank; nothing where the server is not rate-limited.
+    /// The permit request to send to the owner of a server's permits for a request of a priority rank; `None` if the server
+    /// is not rate-limited.
     pub fn ask(&self, server: EngineKey, rank: u8, now: Duration) -> Option<PermitRequest> {
         let known = self.limits.get(&server)?;
-        let is_recent = now.saturating_sub(known.period) < ASK_AHEAD * 2;
+        let is_recent = now.saturating_sub(known.period_start) < PREFETCH_PERIOD * 2;
         let used = if is_recent {
-            known.used.max(known.used_before)
+            known.used.max(known.previous_used)
         } else {
             0
         };
         Some(PermitRequest {
             server,
             saying: known.saying,
-            wanted: used.clamp(1, PERMITS_MOST),
+            wanted: used.clamp(1, MAX_PERMITS),
             rank,
         })
     }
 
-    /// Takes the owner's answer; what the server said is taken apart.
+    /// Applies the owner's response. The server's limit in it is not applied here but passed to [`LimitBook::take`].
     pub fn take_grant(&mut self, server: EngineKey, rank: u8, grant: &PermitGrant, now: Duration) {
         let Some(known) = self.limits.get_mut(&server) else {
             return;
         };
         known.held = known.held(now) + grant.permits;
         if grant.permits > 0 {
-            known.held_until = now + PERMIT_LIFE;
-            known.empty = None;
+            known.held_until = now + PERMIT_TTL;
+            known.denial = None;
             return;
         }
-        known.empty = Some(DeniedPermits {
+        known.denial = Some(CachedDenial {
             rank,
-            until: now + grant.wait.min(EMPTY_TIME),
-            next: now + grant.wait,
+            until: now + grant.wait.min(DENIAL_CACHE_TIME),
+            retry_at: now + grant.wait,
         });
     }
 
-    /// A request is sent away for want of a permit; those after it are told a later time, each one its own.
+    /// Records that a caller was rejected for lack of a permit, so that the next one gets a later retry time.
     pub fn note_sent_away(&mut self, server: EngineKey) {
         let Some(known) = self.limits.get_mut(&server) else {
             return;
         };
-        let pause = 1.0 / known.limit.per_second().max(PERMITS_LEAST);
-        if let Some(empty) = &mut known.empty {
-            empty.next += Duration::from_secs_f64(pause);
+        let interval = 1.0 / known.limit.per_second().max(MIN_PERMITS_PER_SECOND);
+        if let Some(denial) = &mut known.denial {
+            denial.retry_at += Duration::from_secs_f64(interval);
         }
     }
 
-    /// Forgets limits that nobody has heard renewed for long; gives whose they were.
+    /// Removes limits that have not been confirmed within [`LIMIT_TTL`]; returns their servers.
     pub fn forget_old(&mut self, now: Duration) -> Vec<EngineKey> {
-        let old = |known: &KnownLimit| known.saying.age(now) >= BELIEF_LIFE;
+        let is_expired = |known: &KnownLimit| known.saying.age(now) >= LIMIT_TTL;
         let limits = self.limits.iter();
-        let gone: Vec<EngineKey> = limits
-            .filter(|(_, known)| old(known))
+        let expired: Vec<EngineKey> = limits
+            .filter(|(_, known)| is_expired(known))
             .map(|(server, _)| *server)
             .collect();
-        for server in &gone {
+        for server in &expired {
             self.limits.remove(server);
         }
-        gone
+        expired
     }
 }
--- a/src/relay/policy/limit_updates.rs
+++ b/src/relay/policy/limit_updates.rs
@@ -1,43 +1,44 @@
-//! What hosts tell each other of rate-limited servers: that one names a limit, or names none any more.
+//! The updates that hosts exchange about rate-limited servers: that a server has a limit, or no longer has one.
 //!
-//! Numbers that only change are not told: whoever sends there asks for a permit, and hears them with it.
+//! A change from one limit to another is not sent. A host that sends requests to the server asks for permits and receives
+//! the current limit with them.
 
 use {
     super::{
         findings_cache::{CachePosition, CacheUpdates, FindingsCache, MarkSource},
-        limit_book::{BELIEF_LIFE, LimitSaying},
+        limit_book::{LIMIT_TTL, LimitSaying},
         loads::EngineKey,
         server_limit::ServerLimit,
     },
     std::time::Duration,
 };
 
-/// What a server said, as it is told.
+/// The limit that a server reported, as sent to other hosts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LimitUpdate {
-    /// The server's run.
+    /// The key of the server run.
     pub server: EngineKey,
-    /// The limit; none where it named none.
+    /// The limit; `None` if the server reported none.
     pub limit: Option<ServerLimit>,
-    /// How long ago the request was sent whose answer said so.
+    /// How long ago the request was sent whose response reported it.
     pub age: Duration,
 }
 
-/// What was found of rate-limited servers.
+/// The latest report of each server, with the positions needed to send only what a peer lacks.
 #[derive(Debug)]
 pub struct LimitUpdates {
     sayings: FindingsCache<EngineKey, LimitSaying>,
 }
 
 impl LimitUpdates {
-    /// An empty cache; `id` is drawn at random.
+    /// An empty cache; `id` is a random number that identifies it to other hosts.
     pub fn new(id: u64) -> Self {
         Self {
             sayings: FindingsCache::new(id),
         }
     }
 
-    /// Takes what a server said; gives whether others are to hear of it.
+    /// Records what a server reported; returns whether other hosts need to know.
     pub fn note(
         &mut self,
         server: EngineKey,
@@ -51,13 +52,13 @@
             if saying.said < known.said {
                 return false;
             }
-            let is_other = known.limit.is_some() != saying.limit.is_some();
+            let is_transition = known.limit.is_some() != saying.limit.is_some();
             *known = saying;
-            is_first || is_other
+            is_first || is_transition
         })
     }
 
-    /// What an asker lacks that was told up to a place.
+    /// The updates that a peer lacks which received this cache up to a position.
     pub fn since(&self, known: CachePosition, now: Duration) -> CacheUpdates<LimitUpdate> {
         let marks = self.sayings.since(known);
         CacheUpdates {
@@ -68,17 +69,17 @@
         }
     }
 
-    /// What a host that adds up, or tells others, is to hear of this one, after a revision; and the revision to which
-    /// that goes.
+    /// The changes after a revision that are reported to an aggregating or distributing host, and the revision that
+    /// includes them.
     pub fn reported_since(&self, revision: Option<u64>, now: Duration) -> (Vec<LimitUpdate>, u64) {
         let marks = self.sayings.reported_since(revision, now);
         let marks = marks.map(|(server, saying)| mark(*server, *saying, now));
         (marks.collect(), self.sayings.place().revision)
     }
 
-    /// Forgets what was said long ago.
+    /// Removes reports that are older than [`LIMIT_TTL`].
     pub fn forget_old(&mut self, now: Duration) {
-        self.sayings.retain(|_, known| known.age(now) < BELIEF_LIFE);
+        self.sayings.retain(|_, known| known.age(now) < LIMIT_TTL);
     }
 }
 
--- a/src/relay/policy/permit_allocator.rs
+++ b/src/relay/policy/permit_allocator.rs
@@ -1,8 +1,8 @@
-//! Permits at rate-limited backend servers, as the host allocates them that keeps them for a server.
+//! Allocates permits for rate-limited backend servers, on the host that owns a server's permits.
 //!
-//! A plain state machine. A rate-limited server names how many requests a second it takes from all hosts together, and one
-//! host allocates these as permits, so that the bound holds wherever the requests come from. What it holds grows with the
-//! rate-limited servers that it keeps.
+//! A state machine without I/O. A rate-limited server states how many requests a second it accepts from all hosts together.
+//! One host allocates these as permits, so that the limit holds whichever hosts the requests come from. Its size grows with
+//! the number of rate-limited servers that the host owns.
 
 use {
     super::{
@@ -12,57 +12,59 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Least permits a second that are allocated, whatever the server names: a request in 1.7 s shows whether it still names a
-/// limit, and a server that names 0 is bounded at five in four seconds.
-pub const PERMITS_LEAST: f64 = 0.6;
+/// Minimum permits a second, whatever limit the server states. One request in 1.7 s shows whether it still has a limit, and
+/// a server with limit 0 may get up to five requests in four seconds.
+pub const MIN_PERMITS_PER_SECOND: f64 = 0.6;
 
-/// Permits that may be allocated at once, as seconds of the limit and besides: requests do not come evenly. With the life of
-/// a permit in a host's hands and with one owner after another it stays under what a server allows.
+/// The burst size: this many seconds of the limit, plus a constant, since requests do not arrive evenly. Even with the time
+/// that hosts hold unused permits and with a change of owner, it stays below what a server accepts.
 const BURST_SECONDS: f64 = 0.3;
-const BURST_LEAST: f64 = 0.25;
+const BURST_BASE: f64 = 0.25;
 
-/// Part of that which is left to less urgent requests while more urgent ones come.
-const LESS_URGENT_PART: f64 = 0.1;
+/// Fraction of the burst available to less urgent requests while more urgent ones arrive.
+const LESS_URGENT_FRACTION: f64 = 0.1;
 
-/// Part of it up to which a host gets more permits than it needs now.
-const SPARE_PART: f64 = 0.5;
+/// Fraction of the burst up to which a host gets more permits than it needs for its current request.
+const SPARE_FRACTION: f64 = 0.5;
 
-/// How long more urgent requests are taken to come on.
-const URGENT_TIME: Duration = Duration::from_secs(2);
+/// How long after an urgent request more of them are expected.
+const URGENT_WINDOW: Duration = Duration::from_secs(2);
 
-/// How long a host that has come to allocate the permits at a server may not be the only one: others learn within that
-/// time whom to ask. Meanwhile it allocates a part.
-pub(super) const TAKE_OVER_TIME: Duration = Duration::from_secs(2);
-const TAKE_OVER_PART: f64 = 0.5;
+/// How long after a host starts to allocate a server's permits another host may still be doing so; by then all hosts know
+/// the new owner. Until then it allocates only a fraction.
+pub(super) const TAKEOVER_TIME: Duration = Duration::from_secs(2);
+const TAKEOVER_FRACTION: f64 = 0.5;
 
-/// Part of its share of a limit that a host takes which reaches nobody who allocates permits. On the other side of a cut
-/// somebody may allocate the whole; with the shares of all that are cut off it stays under what a server allows.
-const CUT_PART: f64 = 0.3;
+/// Fraction of its equal share of a limit that a host uses while it reaches no owner. On the other side of a network
+/// partition an owner may allocate the whole limit; together with the shares of all partitioned hosts, the total stays
+/// below what a server accepts.
+const PARTITIONED_FRACTION: f64 = 0.3;
 
-/// How long a server is remembered of which nobody asks: longer than it takes until all hosts have heard of its end.
-const SHEET_LIFE: Duration = Duration::from_secs(30);
+/// How long the state of a server is kept after the last request for its permits. Longer than it takes until all hosts
+/// have learned that its limit ended.
+const SERVER_TTL: Duration = Duration::from_secs(30);
 
-/// A host's question for permits at a server.
+/// A host's request for permits for a server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PermitRequest {
     /// The server.
     pub server: EngineKey,
-    /// What the asker knows that the server said.
+    /// The server's limit as known to the requesting host.
     pub saying: LimitSaying,
-    /// Permits that the asker has use for: one at the least, unless it only tells what it knows.
+    /// The number of permits that the requesting host can use; 0 if it only passes on the server's limit.
     pub wanted: u32,
-    /// How urgent the request is, 0 the most.
+    /// The priority rank of the request; 0 is the most urgent.
     pub rank: u8,
 }
 
-/// The answer.
+/// The response to a [`PermitRequest`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PermitGrant {
-    /// Permits that the asker may use up soon.
+    /// The number of permits granted. They expire soon if unused.
     pub permits: u32,
-    /// Where there is none: when one is likely.
+    /// If none was granted, the time until one is likely.
     pub wait: Duration,
-    /// What the owner knows that the server said.
+    /// The server's limit as known to the owner.
     pub saying: LimitSaying,
 }
 
@@ -70,26 +72,26 @@
 struct ServerPermits {
     saying: LimitSaying,
     bucket: RateBucket,
-    began: Duration,
-    asked: Duration,
-    // The most urgent rank that asked lately, and when.
-    urgent: (u8, Duration),
+    started: Duration,
+    last_request: Duration,
+    // The most urgent rank of a recent request, and when it was made.
+    most_urgent: (u8, Duration),
 }
 
-/// Permits at all servers that a host keeps.
+/// The permits of all servers that a host allocates.
 #[derive(Debug, Default)]
 pub struct PermitAllocator {
-    sheets: BTreeMap<EngineKey, ServerPermits>,
+    servers: BTreeMap<EngineKey, ServerPermits>,
 }
 
 impl PermitAllocator {
     /// Allocates permits to all hosts.
     pub fn deal(&mut self, ask: &PermitRequest, now: Duration) -> PermitGrant {
-        self.allocate_part(ask, 1.0, 1.0, now)
+        self.allocate_fraction(ask, 1.0, 1.0, now)
     }
 
-    /// Allocates permits to one host alone, of so many, as a part of its share of a limit; `level` from 0 to 1 is drawn at
-    /// random, so that not all hosts that are cut off together send in the same moment.
+    /// Allocates permits to this host while it reaches no owner, as a fraction of an equal share between `hosts` hosts.
+    /// `level` is a random number from 0 to 1, so that hosts that are partitioned at once do not all send at once.
     pub fn allocate_alone(
         &mut self,
         ask: &PermitRequest,
@@ -97,15 +99,15 @@
         level: f64,
         now: Duration,
     ) -> PermitGrant {
-        let part = if hosts <= 1 {
+        let fraction = if hosts <= 1 {
             1.0
         } else {
-            CUT_PART / hosts as f64
+            PARTITIONED_FRACTION / hosts as f64
         };
-        self.allocate_part(ask, part, level, now)
+        self.allocate_fraction(ask, fraction, level, now)
     }
 
-    /// Allocates permits to one host of so many that all hear each other and take an equal share each.
+    /// Allocates permits to one of `hosts` hosts that all reach each other and use an equal share each.
     pub fn allocate_share(
         &mut self,
         ask: &PermitRequest,
@@ -113,73 +115,78 @@
         level: f64,
         now: Duration,
     ) -> PermitGrant {
-        self.allocate_part(ask, 1.0 / hosts.max(1) as f64, level, now)
+        self.allocate_fraction(ask, 1.0 / hosts.max(1) as f64, level, now)
     }
 
-    // `part` of a server's limit is this host's.
-    fn allocate_part(
+    // Allocates from this host's fraction of the server's limit.
+    fn allocate_fraction(
         &mut self,
         ask: &PermitRequest,
-        part: f64,
+        fraction: f64,
         level: f64,
         now: Duration,
     ) -> PermitGrant {
-        let sheets = &mut self.sheets;
-        let sheet = sheets.entry(ask.server).or_insert_with(|| ServerPermits {
+        let servers = &mut self.servers;
+        let state = servers.entry(ask.server).or_insert_with(|| ServerPermits {
             saying: ask.saying,
-            bucket: begun_bucket(ask.saying.limit, part, level, now),
-            began: now,
-            asked: now,
-            urgent: (ask.rank, now),
+            bucket: initial_bucket(ask.saying.limit, fraction, level, now),
+            started: now,
+            last_request: now,
+            most_urgent: (ask.rank, now),
         });
-        sheet.take_saying(ask.saying, part, level, now);
-        sheet.asked = now;
-        match sheet.saying.limit {
-            Some(limit) => sheet.deal(limit, ask, part, now),
-            None => sheet.grant(ask.wanted, Duration::ZERO),
+        state.take_saying(ask.saying, fraction, level, now);
+        state.last_request = now;
+        match state.saying.limit {
+            Some(limit) => state.deal(limit, ask, fraction, now),
+            None => state.grant(ask.wanted, Duration::ZERO),
         }
     }
 
-    /// Forgets servers of which nobody has asked for long.
+    /// Removes servers for which no host has requested permits within [`SERVER_TTL`].
     pub fn forget_old(&mut self, now: Duration) {
-        self.sheets
-            .retain(|_, sheet| now.saturating_sub(sheet.asked) < SHEET_LIFE);
+        self.servers
+            .retain(|_, state| now.saturating_sub(state.last_request) < SERVER_TTL);
     }
 
-    /// Servers that are remembered.
+    /// The number of servers with allocation state.
     pub fn len(&self) -> usize {
-        self.sheets.len()
+        self.servers.len()
     }
 
-    /// Whether none is.
+    /// Whether there is no such server.
     pub fn is_empty(&self) -> bool {
-        self.sheets.is_empty()
+        self.servers.is_empty()
     }
 }
 
-// What was allocated before by another host is not known: as much as may be at once.
-fn begun_bucket(limit: Option<ServerLimit>, part: f64, level: f64, now: Duration) -> RateBucket {
-    let burst = limit.map_or(0.0, |limit| bounds(limit, part).burst);
+// The permits allocated earlier by another host are unknown, so a whole burst counts as used.
+fn initial_bucket(
+    limit: Option<ServerLimit>,
+    fraction: f64,
+    level: f64,
+    now: Duration,
+) -> RateBucket {
+    let burst = limit.map_or(0.0, |limit| rate_and_burst(limit, fraction).burst);
     RateBucket::filled(burst + level, now)
 }
 
-/// Permits a second at a server that names a limit, and how many at once.
-fn bounds(limit: ServerLimit, part: f64) -> BucketRate {
-    let rate = limit.per_second().max(PERMITS_LEAST) * part;
+/// The rate and burst for a fraction of a server's limit.
+fn rate_and_burst(limit: ServerLimit, fraction: f64) -> BucketRate {
+    let rate = limit.per_second().max(MIN_PERMITS_PER_SECOND) * fraction;
     BucketRate {
         rate,
-        burst: BURST_LEAST + BURST_SECONDS * rate,
+        burst: BURST_BASE + BURST_SECONDS * rate,
     }
 }
 
 impl ServerPermits {
-    fn take_saying(&mut self, saying: LimitSaying, part: f64, level: f64, now: Duration) {
+    fn take_saying(&mut self, saying: LimitSaying, fraction: f64, level: f64, now: Duration) {
         if saying.said <= self.saying.said {
             return;
         }
-        // A server that comes to be rate-limited again has been sent whatever came.
+        // Until a server is rate-limited again, it gets requests without permits.
         if self.saying.limit.is_none() && saying.limit.is_some() {
-            self.bucket = begun_bucket(saying.limit, part, level, now);
+            self.bucket = initial_bucket(saying.limit, fraction, level, now);
         }
         self.saying = saying;
     }
@@ -188,44 +195,44 @@
         &mut self,
         limit: ServerLimit,
         ask: &PermitRequest,
-        part: f64,
+        fraction: f64,
         now: Duration,
     ) -> PermitGrant {
-        let begun = match now.saturating_sub(self.began) < TAKE_OVER_TIME {
-            true => TAKE_OVER_PART,
+        let takeover_fraction = match now.saturating_sub(self.started) < TAKEOVER_TIME {
+            true => TAKEOVER_FRACTION,
             false => 1.0,
         };
-        let whole = bounds(limit, part * begun);
-        let own = match self.is_less_urgent(ask.rank, now) {
+        let full = rate_and_burst(limit, fraction * takeover_fraction);
+        let available = match self.is_less_urgent(ask.rank, now) {
             true => BucketRate {
-                burst: whole.burst * LESS_URGENT_PART,
-                ..whole
+                burst: full.burst * LESS_URGENT_FRACTION,
+                ..full
             },
-            false => whole,
+            false => full,
         };
-        // What was allocated at a higher limit is not made up for at a lower one.
-        self.bucket.cap(whole.burst + 1.0);
+        // Permits allocated at a higher limit are not deducted at a lower one.
+        self.bucket.cap(full.burst + 1.0);
         if ask.wanted == 0 {
             return self.grant(0, Duration::ZERO);
         }
-        if let Err(wait) = self.bucket.take(1.0, own, now) {
+        if let Err(wait) = self.bucket.take(1.0, available, now) {
             return self.grant(0, wait);
         }
-        let spare = whole.burst * SPARE_PART - self.bucket.level();
-        let more = (spare.max(0.0) as u32).min(ask.wanted - 1);
-        self.bucket.add(f64::from(more));
+        let spare = full.burst * SPARE_FRACTION - self.bucket.level();
+        let extra = (spare.max(0.0) as u32).min(ask.wanted - 1);
+        self.bucket.add(f64::from(extra));
         assert!(
-            self.bucket.level() <= whole.burst + 1.0,
-            "no more permits are allocated at once than a server takes"
+            self.bucket.level() <= full.burst + 1.0,
+            "the permits allocated at once do not exceed the burst"
         );
-        self.grant(1 + more, Duration::ZERO)
+        self.grant(1 + extra, Duration::ZERO)
     }
 
     fn is_less_urgent(&mut self, rank: u8, now: Duration) -> bool {
-        let (most, seen) = self.urgent;
-        let is_less = rank > most && now.saturating_sub(seen) < URGENT_TIME;
+        let (most_urgent, seen_at) = self.most_urgent;
+        let is_less = rank > most_urgent && now.saturating_sub(seen_at) < URGENT_WINDOW;
         if !is_less {
-            self.urgent = (rank, now);
+            self.most_urgent = (rank, now);
         }
         is_less
     }
@@ -239,9 +246,9 @@
     }
 }
 
-/// The times of sayings as they are told: how long ago.
+/// Reports are sent to other hosts with their age, since hosts' clocks differ.
 impl LimitSaying {
-    /// A saying that is so old.
+    /// A report of this age.
     pub fn told(limit: Option<ServerLimit>, age: Duration, now: Duration) -> Self {
         Self {
             limit,
@@ -249,7 +256,7 @@
         }
     }
 
-    /// How old it is.
+    /// The age of the report.
     pub fn age(&self, now: Duration) -> Duration {
         self.said.age(now)
     }
--- a/src/relay/policy/permit_owners.rs
+++ b/src/relay/policy/permit_owners.rs
@@ -1,10 +1,10 @@
-//! Which host allocates the permits at a rate-limited server.
+//! Selects the host that allocates the permits of a rate-limited server.
 //!
-//! A plain state machine. All hosts agree on it without talk: it is drawn from the hosts of the server's zone, which reach
-//! the server whenever anybody does.
+//! A state machine without I/O. All hosts agree on the owner without communication: it is selected by a hash from the hosts
+//! of the server's zone, which reach the server whenever any host does.
 
 use {
-    super::{loads::EngineKey, permit_allocator::TAKE_OVER_TIME},
+    super::{loads::EngineKey, permit_allocator::TAKEOVER_TIME},
     crate::{
         account::{BucketRate, RateBucket},
         peer,
@@ -14,37 +14,37 @@
     std::{collections::HashMap, time::Duration},
 };
 
-/// Questions of a host a second that are answered with no permit, and how many at once: where all servers are rate-limited, more of
-/// them find no more permits.
-const DENIALS: BucketRate = BucketRate {
+/// Rate and burst of denied permit requests that a host may send. When all servers are rate-limited, further requests would
+/// yield no more permits.
+const DENIED_REQUESTS: BucketRate = BucketRate {
     rate: 5.0,
     burst: 20.0,
 };
 
-/// How long a host that does not answer is not asked, at first and at the most; doubled each time. While some hosts ask it again
-/// and others do not yet, two allocate permits.
-const PASS_OVER_FIRST: Duration = Duration::from_millis(500);
-const PASS_OVER_MOST: Duration = TAKE_OVER_TIME;
+/// Initial and maximum time for which an unresponsive host is skipped; it doubles with each failure. The maximum is the
+/// takeover time, since two hosts allocate permits while some hosts ask this one again and others still skip it.
+const INITIAL_SKIP_TIME: Duration = Duration::from_millis(500);
+const MAX_SKIP_TIME: Duration = TAKEOVER_TIME;
 
-// A host that did not answer.
+// A host that did not respond.
 #[derive(Debug, Clone, Copy)]
-struct SilentOwner {
-    until: Duration,
-    pause: Duration,
-    // Its machine answered that nobody listens there: it is no host behind a cut.
+struct UnresponsiveHost {
+    skipped_until: Duration,
+    skip_time: Duration,
+    // The connection was refused, so the host is down and not just unreachable.
     is_gone: bool,
 }
 
-/// The hosts that allocate permits, as one host sees them.
+/// The owners of permits from the view of one host.
 #[derive(Debug, Default)]
 pub struct PermitOwners {
-    silent: HashMap<FastStr, SilentOwner>,
+    unresponsive: HashMap<FastStr, UnresponsiveHost>,
     denials: RateBucket,
 }
 
 impl PermitOwners {
-    /// The owner for a server of a zone: the first by draw of those that answer, from the listed hosts of the zone or, where
-    /// it has none, from all. Each server has its own, so that many rate-limited servers are many hosts' work.
+    /// The owner of a server's permits: the responsive host with the highest rendezvous hash, among the listed hosts of the
+    /// server's zone or, if it has none, among all. Hashing by server spreads the load of many rate-limited servers.
     pub fn owner<'a>(
         &self,
         hosts: impl Iterator<Item = &'a HostEntry> + Clone,
@@ -52,52 +52,55 @@
         server: EngineKey,
         now: Duration,
     ) -> Option<&'a HostEntry> {
-        let about = server.0.to_string();
-        let has_near = hosts.clone().any(|entry| entry.zone == zone);
-        let candidates = hosts.filter(|entry| !has_near || entry.zone == zone);
-        let heard = candidates.filter(|entry| self.is_heard(&entry.name, now));
-        heard.max_by_key(|entry| peer::draw(&entry.name, &about))
+        let server_key = server.0.to_string();
+        let has_local = hosts.clone().any(|entry| entry.zone == zone);
+        let candidates = hosts.filter(|entry| !has_local || entry.zone == zone);
+        let responsive = candidates.filter(|entry| self.is_responsive(&entry.name, now));
+        responsive.max_by_key(|entry| peer::draw(&entry.name, &server_key))
     }
 
-    fn is_heard(&self, name: &FastStr, now: Duration) -> bool {
-        let silent = self.silent.get(name);
-        silent.is_none_or(|owner| now >= owner.until)
+    fn is_responsive(&self, name: &FastStr, now: Duration) -> bool {
+        let unresponsive = self.unresponsive.get(name);
+        unresponsive.is_none_or(|host| now >= host.skipped_until)
     }
 
-    /// A host answered.
+    /// Records that a host responded.
     pub fn note_heard(&mut self, name: &FastStr) {
-        self.silent.remove(name);
+        self.unresponsive.remove(name);
     }
 
-    /// A host did not answer; or nobody listens at its address any more.
+    /// Records that a host did not respond, or, with `is_gone`, that it refused the connection.
     pub fn note_silent(&mut self, name: &FastStr, is_gone: bool, now: Duration) {
-        let before = self.silent.get(name).map(|owner| owner.pause * 2);
-        let pause = before.unwrap_or(PASS_OVER_FIRST).min(PASS_OVER_MOST);
-        let owner = SilentOwner {
-            until: now + pause,
-            pause,
+        let doubled = self.unresponsive.get(name).map(|host| host.skip_time * 2);
+        let skip_time = doubled.unwrap_or(INITIAL_SKIP_TIME).min(MAX_SKIP_TIME);
+        let host = UnresponsiveHost {
+            skipped_until: now + skip_time,
+            skip_time,
             is_gone,
         };
-        self.silent.insert(name.clone(), owner);
+        self.unresponsive.insert(name.clone(), host);
     }
 
-    /// Hosts that are listed and that are gone for sure.
+    /// The number of listed hosts that are known to be down.
     pub fn gone(&self) -> usize {
-        self.silent.values().filter(|owner| owner.is_gone).count()
+        self.unresponsive
+            .values()
+            .filter(|host| host.is_gone)
+            .count()
     }
 
-    /// Whether another host may be asked for a permit.
+    /// Whether a permit request may be sent to another host.
     pub fn may_ask(&mut self, now: Duration) -> bool {
-        !self.denials.is_full(DENIALS, now)
+        !self.denials.is_full(DENIED_REQUESTS, now)
     }
 
-    /// Another host had no permit.
+    /// Records that another host denied a permit.
     pub fn note_denied(&mut self) {
         self.denials.add(1.0);
     }
 
-    /// Forgets hosts that are listed no longer.
+    /// Removes hosts that are no longer listed.
     pub fn keep_listed(&mut self, is_listed: impl Fn(&FastStr) -> bool) {
-        self.silent.retain(|name, _| is_listed(name));
+        self.unresponsive.retain(|name, _| is_listed(name));
     }
 }
--- a/tests/relay_crashes.rs
+++ b/tests/relay_crashes.rs
@@ -283,7 +283,7 @@
 }
 
 #[test]
-fn a_large_body_is_summed_up_soon() {
+fn a_large_body_is_hashed_quickly() {
     let body = vec![b'x'; 64 << 10];
     let mut times: Vec<Duration> = (0..101)
         .map(|_| {
