--- a/src/relay/policy/availability.rs
+++ b/src/relay/policy/availability.rs
@@ -1,8 +1,7 @@
-//! Which backend servers take no new requests of this host because their answers say so: those that are leaving, and those
-//! that asked it to back off.
+//! Tracks the backend servers that accept no new requests from this host according to their responses: those that are
+//! leaving, and those that asked it to back off.
 //!
-//! A plain state machine: what answers say and the time go in, whether a request may be sent comes out. It holds nothing of
-//! servers whose answers say nothing.
+//! A state machine without I/O. It holds entries only for servers whose responses stated one of the two.
 
 use {
     super::server_marks::{BackoffMark, LeavingMark, ServerMarks},
@@ -10,47 +9,49 @@
     std::{collections::HashMap, net::SocketAddr, time::Duration},
 };
 
-/// How long after a server's word a request may still be sent that had memory reserved there before it, since its prompt is
-/// being computed. Less than the half second after which servers count.
+/// How long after a server stated that it is leaving or backing off a request may still be sent for which memory was
+/// reserved before, since its prompt is already being computed. Shorter than the half second after which servers count
+/// requests as violations.
 const ADMITTED_GRACE: Duration = Duration::from_millis(300);
 
-/// Time after a backoff over which work comes back step by step.
-const RETURN_TIME: Duration = Duration::from_millis(1_000);
+/// Time over which the load ramps up after a backoff.
+const RAMP_UP_TIME: Duration = Duration::from_millis(1_000);
 
-/// How long a run is known to be leaving whose beginning nobody knows: a later run under its name cannot be told from it.
-const UNDATED_LEAVING_LIFE: Duration = Duration::from_secs(600);
+/// How long a run with an unknown start time counts as leaving, since a later run under the same name looks the same.
+const UNDATED_LEAVING_TTL: Duration = Duration::from_secs(600);
 
-/// How long what is known of a run outlasts its entry, which may lapse while the store is away.
-const UNLISTED_LIFE: Duration = Duration::from_secs(600);
+/// How long the state of a run is kept after it was last listed. Its store entry may expire while the store is
+/// unavailable.
+const UNLISTED_TTL: Duration = Duration::from_secs(600);
 
-/// One run of a backend server, told from all others.
+/// Identifies one run of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ServerRun {
     /// The server's id.
     pub id: FastStr,
-    /// When the run began, Unix milliseconds; 0 where that is not known.
+    /// When the run started, in Unix milliseconds; 0 if unknown.
     pub born: u64,
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
 }
 
-/// Whether a server takes new requests of this host, as far as its answers say.
+/// Whether a server accepts new requests from this host, according to its responses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerAvailability {
-    /// It does.
+    /// It accepts requests.
     Available,
-    /// Not before this time is over.
+    /// It asked for no requests for this remaining time.
     BackingOff(Duration),
-    /// Not any more.
+    /// It accepts no more requests.
     Leaving,
 }
 
-/// What an answer changed in what is known of its server.
+/// How a response changed the availability of its server.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct AvailabilityChange {
-    /// It is leaving, which was not known.
+    /// The server is leaving, which was not known.
     pub is_leaving: bool,
-    /// It asked for a backoff of this length while none was in force.
+    /// The server asked for a backoff of this length while it was available.
     pub backoff: Option<Duration>,
 }
 
@@ -59,15 +60,15 @@
 struct ServerBackoff {
     since: Duration,
     until: Duration,
-    // Whether its end was told.
-    is_ended: bool,
+    // Whether its end was reported.
+    is_reported: bool,
 }
 
 #[derive(Debug, Default)]
 struct KnownAvailability {
     leaving_since: Option<Duration>,
     backoff: Option<ServerBackoff>,
-    // When an answer last said something, or the run was last listed.
+    // When a response last stated something, or the run was last listed.
     known_at: Duration,
 }
 
@@ -78,7 +79,7 @@
 }
 
 impl AvailabilityBook {
-    /// Takes what an answer says of its server.
+    /// Records what a response states about its server.
     pub fn note(
         &mut self,
         run: &ServerRun,
@@ -108,12 +109,12 @@
         }
     }
 
-    /// Whether nothing is known of any server.
+    /// Whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.servers.is_empty()
     }
 
-    /// Whether a server takes new requests.
+    /// Whether a server accepts new requests.
     pub fn availability(&self, run: &ServerRun, now: Duration) -> ServerAvailability {
         let Some(known) = self.known(run) else {
             return ServerAvailability::Available;
@@ -126,7 +127,7 @@
         self.availability(run, now) == ServerAvailability::Leaving
     }
 
-    /// Whether a request may be sent to a server now; `admitted` is when memory was reserved there for it, if that was so.
+    /// Whether a request may be sent to a server now; `admitted` is when memory was reserved there for it, if it was.
     pub fn may_send(&self, run: &ServerRun, admitted: Option<Duration>, now: Duration) -> bool {
         let Some(known) = self.known(run) else {
             return true;
@@ -143,16 +144,18 @@
         }
     }
 
-    /// How far the work of a server has still to come back after its backoff: from 1 at its end down to 0.
+    /// The part of a server's load that is still held back after its backoff, falling from 1 at the end of the backoff
+    /// to 0.
     pub fn returning(&self, run: &ServerRun, now: Duration) -> f64 {
         let backoff = self.known(run).and_then(|known| known.backoff);
         let Some(over) = backoff.and_then(|backoff| now.checked_sub(backoff.until)) else {
             return 0.0;
         };
-        (1.0 - over.as_secs_f64() / RETURN_TIME.as_secs_f64()).max(0.0)
+        (1.0 - over.as_secs_f64() / RAMP_UP_TIME.as_secs_f64()).max(0.0)
     }
 
-    /// Evicts expired entries, later those of listed runs; gives the runs whose backoff is over.
+    /// Evicts expired entries; those of listed runs expire later. Returns the runs whose backoff has ended since the
+    /// last call.
     pub fn evict_expired(
         &mut self,
         is_listed: impl Fn(&ServerRun) -> bool,
@@ -163,15 +166,15 @@
             if is_listed(run) {
                 known.known_at = known.known_at.max(now);
             }
-            if known.end_backoff(now) {
+            if known.finish_backoff(now) {
                 ended.push(run.clone());
             }
-            known.is_of_use(run, now)
+            known.is_needed(run, now)
         });
         ended
     }
 
-    /// The runs that take no new requests now, with what is known of each.
+    /// The runs that accept no new requests now.
     pub fn unavailable(
         &self,
         now: Duration,
@@ -181,7 +184,7 @@
         all.filter(|(_, availability)| *availability != ServerAvailability::Available)
     }
 
-    // Most hosts know of no such server, and the question is asked for each request and server.
+    // Fast path: this runs for each request and server, and the table is usually empty.
     fn known(&self, run: &ServerRun) -> Option<&KnownAvailability> {
         match self.servers.is_empty() {
             true => None,
@@ -206,10 +209,10 @@
     fn is_leaving(&self, run: &ServerRun, now: Duration) -> bool {
         let is_dated = run.born > 0;
         self.leaving_since
-            .is_some_and(|since| is_dated || now < since + UNDATED_LEAVING_LIFE)
+            .is_some_and(|since| is_dated || now < since + UNDATED_LEAVING_TTL)
     }
 
-    // Of several the last to end holds.
+    // Of overlapping backoffs, the one that ends last applies.
     fn back_off(&mut self, time: Duration, now: Duration) {
         let until = now + time;
         match &mut self.backoff {
@@ -218,27 +221,27 @@
                 self.backoff = Some(ServerBackoff {
                     since: now,
                     until,
-                    is_ended: false,
+                    is_reported: false,
                 })
             }
         }
     }
 
-    // Gives whether a backoff is over, once; forgets it when its work has come back.
-    fn end_backoff(&mut self, now: Duration) -> bool {
+    // Returns true once when the backoff has ended; removes it after the ramp-up.
+    fn finish_backoff(&mut self, now: Duration) -> bool {
         let Some(backoff) = &mut self.backoff else {
             return false;
         };
-        let is_over = now >= backoff.until && !backoff.is_ended;
-        backoff.is_ended |= is_over;
-        if now >= backoff.until + RETURN_TIME {
+        let is_over = now >= backoff.until && !backoff.is_reported;
+        backoff.is_reported |= is_over;
+        if now >= backoff.until + RAMP_UP_TIME {
             self.backoff = None;
         }
         is_over
     }
 
-    fn is_of_use(&self, run: &ServerRun, now: Duration) -> bool {
-        let is_known_leaving = self.is_leaving(run, now) && now < self.known_at + UNLISTED_LIFE;
+    fn is_needed(&self, run: &ServerRun, now: Duration) -> bool {
+        let is_known_leaving = self.is_leaving(run, now) && now < self.known_at + UNLISTED_TTL;
         self.backoff.is_some() || is_known_leaving
     }
 }
--- a/src/relay/policy/crash_book.rs
+++ b/src/relay/policy/crash_book.rs
@@ -25,8 +25,8 @@
 /// How long a record is kept after its request was last seen.
 const RECORD_TTL: Duration = Duration::from_secs(1_800);
 
-/// Minimum number of crashes for a record to be sent to all hosts. Each crash leaves up to twenty requests with a single
-/// crash, which only the hosts that aggregate reports need to know of.
+/// Minimum number of crashes for a record to be sent to all hosts. Each crash leaves up to twenty requests with a
+/// single crash, which only the hosts that aggregate reports need to know of.
 const MIN_CRASHES_TO_SHARE: usize = 2;
 
 /// How the verdict on a request changed.
--- a/src/relay/policy/crash_mark.rs
+++ b/src/relay/policy/crash_mark.rs
@@ -34,8 +34,8 @@
 
 /// A fatal request, as kept in a host's store entry so that it survives a restart of all hosts at once.
 ///
-/// It has no ages, since no host's clock survives such a restart. Its crashes and trials count as having happened when it
-/// is read, so the next trial comes later by at most the time since they happened.
+/// It has no ages, since no host's clock survives such a restart. Its crashes and trials count as having happened when
+/// it is read, so the next trial comes later by at most the time since they happened.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeptJudgement {
     /// The digest of the request in hexadecimal, since readers of the store may not support 128-bit integers.
--- a/src/relay/policy/crash_record.rs
+++ b/src/relay/policy/crash_record.rs
@@ -17,10 +17,10 @@
 /// another one is excused.
 const MAX_RUNS: usize = 8;
 
-/// How long a fatal request is rejected before its first and its second trial, so that a harmless request is rejected for
-/// at most a minute. One trial may fail by chance: with the second one only after five minutes, one of six simulations of
-/// ten minutes rejected a harmless request for longer (tests/relay_crash_innocents.rs). Each trial of a request that is
-/// the cause costs a server, and operators accept three sends.
+/// How long a fatal request is rejected before its first and its second trial, so that a harmless request is rejected
+/// for at most a minute. One trial may fail by chance: with the second one only after five minutes, one of six
+/// simulations of ten minutes rejected a harmless request for longer (tests/relay_crash_innocents.rs). Each trial of a
+/// request that is the cause costs a server, and operators accept three sends.
 const TRIAL_DELAYS: [Duration; 2] = [Duration::from_secs(40), Duration::from_secs(12)];
 
 /// Retry delay given to callers of a request that failed both trials.
@@ -52,8 +52,8 @@
     TrialDue,
 }
 
-/// The crashes and trials of one request. Merging is commutative and idempotent, so hosts that received the same records
-/// hold the same state.
+/// The crashes and trials of one request. Merging is commutative and idempotent, so hosts that received the same
+/// records hold the same state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CrashRecord {
     // Sorted by run.
@@ -191,8 +191,8 @@
         }
     }
 
-    // Keeps the earliest time of a crash: the delay of each transmission makes it seem later, and a time that moved with
-    // each message would be sent forever.
+    // Keeps the earliest time of a crash: the delay of each transmission makes it seem later, and a time that moved
+    // with each message would be sent forever.
     fn add(&mut self, end: ServerCrash) -> bool {
         match self.ends.binary_search_by_key(&end.run, |known| known.run) {
             Ok(index) => {
--- a/src/relay/policy/findings_cache.rs
+++ b/src/relay/policy/findings_cache.rs
@@ -1,16 +1,17 @@
-//! A cache of findings that hosts exchange: what each peer has received of it, and what it lacks.
+//! A cache of findings that hosts exchange, which determines what a peer lacks.
 //!
-//! A plain state machine. Its revision grows with each change, so that an asker names the revision up to which it was told.
+//! A state machine without I/O. Its revision increases with each change, and a peer states the revision up to which it
+//! has received the cache.
 
 use std::{collections::BTreeMap, time::Duration};
 
 /// How long a change is sent to a peer that has received nothing yet.
-const TELL_LIFE: Duration = Duration::from_secs(30);
+const REPORT_TTL: Duration = Duration::from_secs(30);
 
 /// The position up to which a peer has received a cache.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct CachePosition {
-    /// The cache's id, drawn when its host created it; 0 for none.
+    /// The random id that the cache got when its host created it; 0 for none.
     pub book: u64,
     /// The revision.
     pub revision: u64,
@@ -19,9 +20,9 @@
 /// What a peer lacks of a cache.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CacheUpdates<M> {
-    /// The position that the peer has with this.
+    /// The position of the peer once it has received these updates.
     pub place: CachePosition,
-    /// What it lacked.
+    /// The findings that it lacked.
     pub marks: Vec<M>,
 }
 
@@ -37,22 +38,22 @@
 /// The source of a finding.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MarkSource {
-    /// This host saw it, or a host that reports to this one did: others are to be told.
+    /// Observed by this host, or reported by a host that relies on this one to pass it on to others.
     Reported,
-    /// A host that tells all others itself.
+    /// Received from a host that sends it to all others itself.
     Told,
 }
 
 #[derive(Debug)]
 struct CachedFinding<V> {
     value: V,
-    // The cache's revision of its last change, and of the last one that others are to be told of.
+    // The cache's revision at the last change, and at the last change to be passed on to others.
     changed: u64,
     reported: u64,
     reported_at: Duration,
 }
 
-/// Findings by what they are about.
+/// Findings by their subject.
 #[derive(Debug)]
 pub struct FindingsCache<K, V> {
     id: u64,
@@ -61,7 +62,7 @@
 }
 
 impl<K: Ord + Copy, V> FindingsCache<K, V> {
-    /// An empty cache; `id` is drawn at random.
+    /// An empty cache; `id` is a random number that identifies it to other hosts.
     pub fn new(id: u64) -> Self {
         Self {
             id,
@@ -78,42 +79,45 @@
         }
     }
 
-    /// How many findings there are.
+    /// The number of findings.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no findings.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// What was found of one matter.
-    pub fn get(&self, about: &K) -> Option<&V> {
-        self.entries.get(about).map(|entry| &entry.value)
+    /// The finding about a subject.
+    pub fn get(&self, subject: &K) -> Option<&V> {
+        self.entries.get(subject).map(|entry| &entry.value)
     }
 
-    /// All findings.
+    /// All findings with their subjects.
     pub fn iter(&self) -> impl Iterator<Item = (&K, &V)> {
         let entries = self.entries.iter();
-        entries.map(|(about, entry)| (about, &entry.value))
+        entries.map(|(subject, entry)| (subject, &entry.value))
     }
 
-    /// Changes a finding, or begins one; `change` says whether it did change anything that others should know.
+    /// Changes a finding, creating it if needed. `change` returns whether it changed anything that others should know.
     pub fn change(
         &mut self,
-        about: K,
-        begin: impl FnOnce() -> V,
+        subject: K,
+        create: impl FnOnce() -> V,
         source: MarkSource,
         now: Duration,
         change: impl FnOnce(&mut V) -> bool,
     ) -> bool {
-        let entry = self.entries.entry(about).or_insert_with(|| CachedFinding {
-            value: begin(),
-            changed: 0,
-            reported: 0,
-            reported_at: now,
-        });
+        let entry = self
+            .entries
+            .entry(subject)
+            .or_insert_with(|| CachedFinding {
+                value: create(),
+                changed: 0,
+                reported: 0,
+                reported_at: now,
+            });
         if !change(&mut entry.value) {
             return false;
         }
@@ -126,50 +130,50 @@
         true
     }
 
-    /// Forgets a finding.
-    pub fn remove(&mut self, about: &K) {
-        self.entries.remove(about);
+    /// Removes a finding.
+    pub fn remove(&mut self, subject: &K) {
+        self.entries.remove(subject);
     }
 
-    /// Forgets all findings but some.
+    /// Keeps only the findings that satisfy a predicate.
     pub fn retain(&mut self, is_kept: impl Fn(&K, &V) -> bool) {
         self.entries
-            .retain(|about, entry| is_kept(about, &entry.value));
+            .retain(|subject, entry| is_kept(subject, &entry.value));
     }
 
-    /// What has changed since a peer received it up to a position in this cache or another one.
+    /// The findings that changed since the position of a peer. A position in another cache counts as the start.
     pub fn since(&self, known: CachePosition) -> impl Iterator<Item = (&K, &V)> {
         let since = match known.book == self.id {
             true => known.revision,
             false => 0,
         };
-        self.wanted(move |entry| entry.changed > since)
+        self.filtered(move |entry| entry.changed > since)
     }
 
-    /// What a host that adds up, or tells others, is to hear of this one, after a revision of this cache. Where it was never
-    /// told anything that is what has changed lately: whoever added up before has told the rest.
+    /// The changes after a revision that are reported to an aggregating or distributing host. A host that received no
+    /// report yet gets the recent changes only: the previous aggregator has distributed the earlier ones.
     pub fn reported_since(
         &self,
         revision: Option<u64>,
         now: Duration,
     ) -> impl Iterator<Item = (&K, &V)> {
-        self.wanted(move |entry| match revision {
+        self.filtered(move |entry| match revision {
             Some(revision) => entry.reported > revision,
-            None => entry.reported > 0 && now.saturating_sub(entry.reported_at) < TELL_LIFE,
+            None => entry.reported > 0 && now.saturating_sub(entry.reported_at) < REPORT_TTL,
         })
     }
 
-    fn wanted(
+    fn filtered(
         &self,
-        is_wanted: impl Fn(&CachedFinding<V>) -> bool,
+        is_included: impl Fn(&CachedFinding<V>) -> bool,
     ) -> impl Iterator<Item = (&K, &V)> {
         let entries = self.entries.iter();
-        let wanted = entries.filter(move |(_, entry)| is_wanted(entry));
-        wanted.map(|(about, entry)| (about, &entry.value))
+        let filtered = entries.filter(move |(_, entry)| is_included(entry));
+        filtered.map(|(subject, entry)| (subject, &entry.value))
     }
 
-    /// The cache's revision of a finding's last change; 0 where there was none.
-    pub fn changed(&self, about: &K) -> u64 {
-        self.entries.get(about).map_or(0, |entry| entry.changed)
+    /// The cache's revision at the last change of a finding; 0 if there is none.
+    pub fn changed(&self, subject: &K) -> u64 {
+        self.entries.get(subject).map_or(0, |entry| entry.changed)
     }
 }
--- a/src/relay/policy/limit_book.rs
+++ b/src/relay/policy/limit_book.rs
@@ -1,7 +1,8 @@
-//! The rate-limited backend servers that this host knows of, and the permits it holds for them. Such a server states how
-//! many requests a second it accepts from all hosts together.
+//! The rate-limited backend servers that this host knows of, and the permits it holds for them. Such a server states
+//! how many requests a second it accepts from all hosts together.
 //!
-//! A state machine without I/O. Its size grows with the number of rate-limited servers, not with the number of listed ones.
+//! A state machine without I/O. Its size grows with the number of rate-limited servers, not with the number of listed
+//! ones.
 
 use {
     super::{
@@ -20,9 +21,9 @@
 /// Maximum time for which a denial is cached, since other hosts may leave their permits unused.
 const DENIAL_CACHE_TIME: Duration = Duration::from_millis(250);
 
-/// Age of the last reported limit after which a server gets a request although others have capacity, to find out whether
-/// it is still rate-limited. The host that allocates its permits probes first, since it receives what others heard; the
-/// other hosts only probe if that host has no requests.
+/// Age of the last reported limit after which a server gets a request although others have capacity, to find out
+/// whether it is still rate-limited. The host that allocates its permits probes first, since it receives what others
+/// heard; the other hosts only probe if that host has no requests.
 const PROBE_INTERVAL: Duration = Duration::from_millis(800);
 const REMOTE_PROBE_INTERVAL: Duration = Duration::from_secs(5);
 
@@ -32,8 +33,8 @@
 /// Maximum number of permits in one permit request.
 const MAX_PERMITS: u32 = 16;
 
-/// How long a reported limit, or the end of one, is kept without being confirmed. Hosts that send to the server learn its
-/// current state within seconds, so this only removes entries of servers that get no requests.
+/// How long a reported limit, or the end of one, is kept without being confirmed. Hosts that send to the server learn
+/// its current state within seconds, so this only removes entries of servers that get no requests.
 pub(super) const LIMIT_TTL: Duration = Duration::from_secs(60);
 
 /// Maximum retry delay given to a caller, since a server's limit may end at any time.
@@ -47,8 +48,8 @@
 pub struct LimitSaying {
     /// The limit; `None` if the server reported none.
     pub limit: Option<ServerLimit>,
-    /// When the request was sent whose response reported it. Of two responses, the one to the later request is the newer
-    /// one, whichever is read first.
+    /// When the request was sent whose response reported it. Of two responses, the one to the later request is the
+    /// newer one, whichever is read first.
     pub said: PastTime,
 }
 
@@ -193,9 +194,9 @@
         }
     }
 
-    /// The sort key of a server among servers that are otherwise equal. Servers without a limit come first, together with
-    /// those whose limit has not been confirmed for a while; then those whose permits this host allocates itself and so
-    /// needs no request to another host; then the others, in a pseudo-random order that differs between hosts.
+    /// The sort key of a server among servers that are otherwise equal. Servers without a limit come first, together
+    /// with those whose limit has not been confirmed for a while; then those whose permits this host allocates itself
+    /// and so needs no request to another host; then the others, in a pseudo-random order that differs between hosts.
     pub fn order(&self, server: EngineKey, now: Duration) -> u64 {
         let Some(known) = self.limits.get(&server) else {
             return 0;
@@ -217,8 +218,8 @@
         self.limits.get(&server).map(|known| known.limit)
     }
 
-    /// The age of a server's limit, counted from when the request was sent whose response reported it; zero if it has no
-    /// limit.
+    /// The age of a server's limit, counted from when the request was sent whose response reported it; zero if it has
+    /// no limit.
     pub fn age(&self, server: EngineKey, now: Duration) -> Duration {
         let known = self.limits.get(&server);
         known.map_or(Duration::ZERO, |known| known.saying.age(now))
@@ -305,8 +306,8 @@
         }
     }
 
-    /// The permit request to send to the owner of a server's permits for a request of a priority rank; `None` if the server
-    /// is not rate-limited.
+    /// The permit request to send to the owner of a server's permits for a request of a priority rank; `None` if the
+    /// server is not rate-limited.
     pub fn ask(&self, server: EngineKey, rank: u8, now: Duration) -> Option<PermitRequest> {
         let known = self.limits.get(&server)?;
         let is_recent = now.saturating_sub(known.period_start) < PREFETCH_PERIOD * 2;
--- a/src/relay/policy/limit_updates.rs
+++ b/src/relay/policy/limit_updates.rs
@@ -1,7 +1,7 @@
 //! The updates that hosts exchange about rate-limited servers: that a server has a limit, or no longer has one.
 //!
-//! A change from one limit to another is not sent. A host that sends requests to the server asks for permits and receives
-//! the current limit with them.
+//! A change from one limit to another is not sent. A host that sends requests to the server asks for permits and
+//! receives the current limit with them.
 
 use {
     super::{
--- a/src/relay/policy/past_time.rs
+++ b/src/relay/policy/past_time.rs
@@ -1,9 +1,10 @@
-//! When something was, on the host's own clock, also before the host started.
+//! Times on the host's own clock that may lie before the start of the host.
 
 use std::time::Duration;
 
-/// A time on the host's clock, microseconds since its start; negative where another host's view is older than this host.
-/// Taken for no older than this host's start, old news would look new at each host that starts, and be passed on so.
+/// A time on the host's clock in microseconds since its start, negative for times before it, as other hosts may report.
+/// If such times were clamped to the start, old information would look new on each host that starts, and would be
+/// passed on as new.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PastTime(i64);
 
@@ -13,12 +14,12 @@
         Self(micros(time))
     }
 
-    /// As much earlier.
+    /// The time that is earlier by a duration.
     pub fn before(self, time: Duration) -> Self {
         Self(self.0.saturating_sub(micros(time)))
     }
 
-    /// How long ago it was; zero for one to come.
+    /// The time elapsed since then; zero for a time in the future.
     pub fn age(self, now: Duration) -> Duration {
         let age = micros(now).saturating_sub(self.0);
         Duration::from_micros(u64::try_from(age).unwrap_or_default())
--- a/src/relay/policy/permit_allocator.rs
+++ b/src/relay/policy/permit_allocator.rs
@@ -1,8 +1,8 @@
 //! Allocates permits for rate-limited backend servers, on the host that owns a server's permits.
 //!
-//! A state machine without I/O. A rate-limited server states how many requests a second it accepts from all hosts together.
-//! One host allocates these as permits, so that the limit holds whichever hosts the requests come from. Its size grows with
-//! the number of rate-limited servers that the host owns.
+//! A state machine without I/O. A rate-limited server states how many requests a second it accepts from all hosts
+//! together. One host allocates these as permits, so that the limit holds whichever hosts the requests come from. Its
+//! size grows with the number of rate-limited servers that the host owns.
 
 use {
     super::{
@@ -12,12 +12,12 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Minimum permits a second, whatever limit the server states. One request in 1.7 s shows whether it still has a limit, and
-/// a server with limit 0 may get up to five requests in four seconds.
+/// Minimum permits a second, whatever limit the server states. One request in 1.7 s shows whether it still has a limit,
+/// and a server with limit 0 may get up to five requests in four seconds.
 pub const MIN_PERMITS_PER_SECOND: f64 = 0.6;
 
-/// The burst size: this many seconds of the limit, plus a constant, since requests do not arrive evenly. Even with the time
-/// that hosts hold unused permits and with a change of owner, it stays below what a server accepts.
+/// The burst size: this many seconds of the limit, plus a constant, since requests do not arrive evenly. Even with the
+/// time that hosts hold unused permits and with a change of owner, it stays below what a server accepts.
 const BURST_SECONDS: f64 = 0.3;
 const BURST_BASE: f64 = 0.25;
 
@@ -30,8 +30,8 @@
 /// How long after an urgent request more of them are expected.
 const URGENT_WINDOW: Duration = Duration::from_secs(2);
 
-/// How long after a host starts to allocate a server's permits another host may still be doing so; by then all hosts know
-/// the new owner. Until then it allocates only a fraction.
+/// How long after a host starts to allocate a server's permits another host may still be doing so; by then all hosts
+/// know the new owner. Until then it allocates only a fraction.
 pub(super) const TAKEOVER_TIME: Duration = Duration::from_secs(2);
 const TAKEOVER_FRACTION: f64 = 0.5;
 
--- a/src/relay/policy/permit_owners.rs
+++ b/src/relay/policy/permit_owners.rs
@@ -1,7 +1,7 @@
 //! Selects the host that allocates the permits of a rate-limited server.
 //!
-//! A state machine without I/O. All hosts agree on the owner without communication: it is selected by a hash from the hosts
-//! of the server's zone, which reach the server whenever any host does.
+//! A state machine without I/O. All hosts agree on the owner without communication: it is selected by a hash from the
+//! hosts of the server's zone, which reach the server whenever any host does.
 
 use {
     super::{loads::EngineKey, permit_allocator::TAKEOVER_TIME},
@@ -14,8 +14,8 @@
     std::{collections::HashMap, time::Duration},
 };
 
-/// Rate and burst of denied permit requests that a host may send. When all servers are rate-limited, further requests would
-/// yield no more permits.
+/// Rate and burst of denied permit requests that a host may send. When all servers are rate-limited, further requests
+/// would yield no more permits.
 const DENIED_REQUESTS: BucketRate = BucketRate {
     rate: 5.0,
     burst: 20.0,
@@ -43,8 +43,9 @@
 }
 
 impl PermitOwners {
-    /// The owner of a server's permits: the responsive host with the highest rendezvous hash, among the listed hosts of the
-    /// server's zone or, if it has none, among all. Hashing by server spreads the load of many rate-limited servers.
+    /// The owner of a server's permits: the responsive host with the highest rendezvous hash, among the listed hosts of
+    /// the server's zone or, if it has none, among all. Hashing by server spreads the load of many rate-limited
+    /// servers.
     pub fn owner<'a>(
         &self,
         hosts: impl Iterator<Item = &'a HostEntry> + Clone,
--- a/src/relay/policy/plain_number.rs
+++ b/src/relay/policy/plain_number.rs
@@ -1,15 +1,15 @@
-//! Numbers in the answers of backend servers.
+//! Parsing of numbers in the responses of backend servers.
 
-/// Most characters of a number: a billion to six places has fewer.
-const DIGITS_MOST: usize = 24;
+/// Maximum length of a number; a billion with six decimal places is shorter.
+const MAX_LENGTH: usize = 24;
 
-/// Reads a plain decimal number, at least zero; what Rust reads besides, such as `inf` or `1e9`, is none.
-pub(crate) fn read_plain_number(value: &[u8]) -> Option<f64> {
+/// Parses a non-negative decimal number. Rejects other forms that Rust accepts, such as `inf` and `1e9`.
+pub(crate) fn parse_decimal(value: &[u8]) -> Option<f64> {
     let text = std::str::from_utf8(value).ok()?.trim();
-    let is_plain = text
+    let is_decimal = text
         .bytes()
         .all(|byte| byte.is_ascii_digit() || byte == b'.');
-    if !is_plain || text.len() > DIGITS_MOST {
+    if !is_decimal || text.len() > MAX_LENGTH {
         return None;
     }
     text.parse().ok()
--- a/src/relay/policy/rotation.rs
+++ b/src/relay/policy/rotation.rs
@@ -1,4 +1,5 @@
-//! Which backend servers get new requests of this host: those in rotation, neither leaving nor waiting for a backoff to end.
+//! Determines which backend servers are in rotation, that is, get new requests from this host because they are neither
+//! leaving nor backing off.
 
 use {
     super::{
@@ -10,29 +11,29 @@
     std::time::Duration,
 };
 
-/// When a server gets new requests again, where all of a service get none now.
+/// When a service gets a server in rotation again, if it has none.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RotationWait {
-    /// The first backoff is over after this time.
+    /// The first backoff ends after this time.
     Until(Duration),
-    /// All are leaving: when others are listed.
+    /// All servers are leaving, so only once others are listed.
     NoneReturns,
 }
 
 impl BackendBook {
-    /// Whether a server is leaving, by the list or by its answers.
+    /// Whether a server is leaving, according to the list of servers or its responses.
     pub fn is_leaving(&self, view: &BackendView, now: Duration) -> bool {
         view.info.leaving || self.availability.is_leaving(&view.run, now)
     }
 
-    /// Whether a server gets new requests of this host. Each choice of a server asks here.
+    /// Whether a server gets new requests from this host. Every selection of a server checks this.
     pub fn in_rotation(&self, view: &BackendView, now: Duration) -> bool {
         let availability = self.availability.availability(&view.run, now);
         !view.info.leaving && availability == ServerAvailability::Available
     }
 
-    /// Whether a request may be sent to a server at the last moment before it; `admitted` is when memory was reserved there
-    /// for it, if that was so.
+    /// The check right before a request is sent to a server; `admitted` is when memory was reserved there for it, if it
+    /// was.
     pub fn may_send(
         &self,
         backend: &BackendInfo,
@@ -42,7 +43,7 @@
         self.availability.is_empty() || self.availability.may_send(&backend.run(), admitted, now)
     }
 
-    /// When a server of a service, or an engine of a role, gets new requests again; nothing where one gets them now, or
+    /// When a server of a service, optionally only of an engine role, is in rotation again; `None` if one is now, or if
     /// none is listed.
     pub fn rotation_wait(
         &self,
@@ -58,18 +59,18 @@
             if self.in_rotation(view, now) {
                 return None;
             }
-            let here = match self.availability.availability(&view.run, now) {
+            let own_wait = match self.availability.availability(&view.run, now) {
                 ServerAvailability::BackingOff(time) if !view.info.leaving => {
                     RotationWait::Until(time)
                 }
                 _ => RotationWait::NoneReturns,
             };
-            wait = Some(wait.map_or(here, |least: RotationWait| least.min(here)));
+            wait = Some(wait.map_or(own_wait, |shortest: RotationWait| shortest.min(own_wait)));
         }
         wait
     }
 
-    /// Evicts expired entries of servers' availability; gives the runs whose backoff is over.
+    /// Evicts expired availability entries; returns the runs whose backoff has ended since the last call.
     pub fn evict_availability(&mut self, now: Duration) -> Vec<ServerRun> {
         let views = &self.views;
         let is_listed = |run: &ServerRun| {
--- a/src/relay/policy/server_limit.rs
+++ b/src/relay/policy/server_limit.rs
@@ -1,21 +1,21 @@
-//! The limit that a backend server names in its answers while it is rate-limited.
+//! The request rate limit that a backend server states in its responses while it is rate-limited.
 
-use {super::plain_number::read_plain_number, std::fmt};
+use {super::plain_number::parse_decimal, std::fmt};
 
-/// Requests a second that a backend server takes from all hosts together, for as long as its answers say so.
+/// Requests a second that a backend server accepts from all hosts together, for as long as its responses state it.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 pub struct ServerLimit(f64);
 
-// It is always a number.
+// Sound because the value is never NaN.
 impl Eq for ServerLimit {}
 
 impl ServerLimit {
-    /// A limit of so many requests a second; none where that is no number of requests.
+    /// A limit in requests a second; `None` if the number is negative or not finite.
     pub fn new(per_second: f64) -> Option<Self> {
         (per_second.is_finite() && per_second >= 0.0).then_some(Self(per_second))
     }
 
-    /// Requests a second, of all hosts together.
+    /// Requests a second from all hosts together.
     pub fn per_second(self) -> f64 {
         self.0
     }
@@ -27,29 +27,29 @@
     }
 }
 
-/// What an answer says of its server's limit.
+/// What a response states about its server's limit.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub enum LimitMark {
-    /// Nothing: the server is not rate-limited.
+    /// No limit: the server is not rate-limited.
     #[default]
     Unsaid,
-    /// Something that is no number of requests a second, or several things: as if nothing were said.
+    /// A value that is not a valid limit, or several values. Treated like a missing limit.
     Unreadable,
-    /// This limit.
+    /// A valid limit.
     Named(ServerLimit),
 }
 
 impl LimitMark {
-    /// Reads all values of the header or field that names the limit.
+    /// Parses all values of the header or field that states the limit.
     pub fn read<'a>(mut values: impl Iterator<Item = &'a [u8]>) -> Self {
         match (values.next(), values.next()) {
             (None, _) => Self::Unsaid,
-            (Some(value), None) => read_limit(value).map_or(Self::Unreadable, Self::Named),
+            (Some(value), None) => parse_limit(value).map_or(Self::Unreadable, Self::Named),
             (Some(_), Some(_)) => Self::Unreadable,
         }
     }
 }
 
-fn read_limit(value: &[u8]) -> Option<ServerLimit> {
-    ServerLimit::new(read_plain_number(value)?)
+fn parse_limit(value: &[u8]) -> Option<ServerLimit> {
+    ServerLimit::new(parse_decimal(value)?)
 }
--- a/src/relay/policy/server_marks.rs
+++ b/src/relay/policy/server_marks.rs
@@ -1,38 +1,38 @@
-//! What an answer says of its server, beside what it answers.
+//! What a response states about its server, apart from its contents.
 
 use {
-    super::{plain_number::read_plain_number, server_limit::LimitMark},
+    super::{plain_number::parse_decimal, server_limit::LimitMark},
     std::time::Duration,
 };
 
-/// Longest backoff that is kept to: one mistaken answer does not take a server out of service for good.
-pub const BACKOFF_LONGEST: Duration = Duration::from_secs(300);
+/// Maximum backoff that is honored, so that one wrong response cannot take a server out of service for good.
+pub const MAX_BACKOFF: Duration = Duration::from_secs(300);
 
-/// Everything that an answer says of its server.
+/// What a response states about its server.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ServerMarks {
-    /// How many requests a second it takes.
+    /// How many requests a second it accepts.
     pub limit: LimitMark,
-    /// Whether it is leaving.
+    /// Whether it is shutting down.
     pub leaving: LeavingMark,
-    /// For how long it wants no requests of this host.
+    /// For how long it asks this host to send no requests.
     pub backoff: BackoffMark,
 }
 
-/// Whether an answer says that its server is leaving.
+/// Whether a response states that its server is leaving, that is, about to shut down.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum LeavingMark {
     /// It does not.
     #[default]
     Unsaid,
-    /// It says something else in that place: as if nothing were said.
+    /// The header has another value. Treated like a missing header.
     Unreadable,
     /// The server is leaving.
     Leaving,
 }
 
 impl LeavingMark {
-    /// Reads all values of the header that says it: `1`, in each of them.
+    /// Parses all values of the leaving header: `1` in each, or a single `0`.
     pub fn read<'a>(mut values: impl Iterator<Item = &'a [u8]>) -> Self {
         let Some(first) = values.next() else {
             return Self::Unsaid;
@@ -45,32 +45,32 @@
     }
 }
 
-/// For how long a server that turned a request away wants no others of this host.
+/// For how long a server that rejected a request asks this host to send no others.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum BackoffMark {
-    /// Nothing is said.
+    /// No backoff.
     #[default]
     Unsaid,
-    /// Something that is no number of seconds, or several things: as if nothing were said.
+    /// A value that is not a number of seconds, or several values. Treated like a missing backoff.
     Unreadable,
-    /// For this long, at most [`BACKOFF_LONGEST`].
+    /// A backoff of this length, at most [`MAX_BACKOFF`].
     Lasting(Duration),
 }
 
 impl BackoffMark {
-    /// Reads all values of the header that names the seconds, fractions included.
+    /// Parses all values of the header that states the backoff in seconds, which may have a fraction.
     pub fn read<'a>(mut values: impl Iterator<Item = &'a [u8]>) -> Self {
         match (values.next(), values.next()) {
             (None, _) => Self::Unsaid,
             (Some(value), None) => {
-                read_plain_number(value).map_or(Self::Unreadable, Self::of_seconds)
+                parse_decimal(value).map_or(Self::Unreadable, Self::from_seconds)
             }
             (Some(_), Some(_)) => Self::Unreadable,
         }
     }
 
-    fn of_seconds(seconds: f64) -> Self {
-        let longest = BACKOFF_LONGEST.as_secs_f64();
-        Self::Lasting(Duration::from_secs_f64(seconds.min(longest)))
+    fn from_seconds(seconds: f64) -> Self {
+        let max = MAX_BACKOFF.as_secs_f64();
+        Self::Lasting(Duration::from_secs_f64(seconds.min(max)))
     }
 }
--- a/src/relay/policy/shared_findings.rs
+++ b/src/relay/policy/shared_findings.rs
@@ -1,28 +1,28 @@
-//! What a host tells another at once of what requests have shown.
+//! The findings from requests that a host sends to another host in one message.
 
 use super::{crash_mark::CrashMark, limit_updates::LimitUpdate};
 
-/// Findings of one host, or of a whole zone.
+/// The findings of one host or of a whole zone.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SharedFindings {
-    /// Requests under which servers ended.
+    /// Requests that were running on servers when those crashed.
     pub crashes: Vec<CrashMark>,
-    /// Rate-limited servers.
+    /// Reported limits of servers.
     pub limits: Vec<LimitUpdate>,
 }
 
 impl SharedFindings {
-    /// Whether there is none.
+    /// Whether there are no findings.
     pub fn is_empty(&self) -> bool {
         self.crashes.is_empty() && self.limits.is_empty()
     }
 }
 
-/// Up to which revisions of a host's books another one was told.
+/// The revisions up to which a host's findings were sent to another host.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct SharedRevisions {
-    /// Of requests under which servers ended.
+    /// Revision of the requests that were running on servers when those crashed.
     pub crashes: u64,
-    /// Of rate-limited servers.
+    /// Revision of the reported limits of servers.
     pub limits: u64,
 }
--- a/tests/server_availability.rs
+++ b/tests/server_availability.rs
@@ -7,8 +7,9 @@
     bayplank::{
         engine::EngineRole,
         relay::{
-            BACKOFF_LONGEST, BackendBook, BackendFailure, BackendInfo, BackoffMark, LeavingMark,
-            LimitMark, LimitSaying, PlainChoice, RotationWait, SendWish, ServerLimit, ServerMarks,
+            BackendBook, BackendFailure, BackendInfo, BackoffMark, LeavingMark, LimitMark,
+            LimitSaying, MAX_BACKOFF, PlainChoice, RotationWait, SendWish, ServerLimit,
+            ServerMarks,
         },
     },
     bolero::{TypeGenerator, check},
@@ -71,15 +72,15 @@
 #[test]
 fn a_server_is_not_lost_for_good_by_one_huge_backoff() {
     let mark = read_backoff(&["1000000000"]);
-    assert_eq!(mark, BackoffMark::Lasting(BACKOFF_LONGEST));
+    assert_eq!(mark, BackoffMark::Lasting(MAX_BACKOFF));
     let mut book = BackendBook::default();
     let server = backend("a", "z", None);
     book.set_backends(vec![server.clone()]);
     book.availability
         .note(&server.run(), &marks(false, Some(mark)), millis(0));
-    let before = BACKOFF_LONGEST - millis(1);
+    let before = MAX_BACKOFF - millis(1);
     assert_eq!(choose(&book, before), PlainChoice::NoneLeft);
-    assert_eq!(choose(&book, BACKOFF_LONGEST), PlainChoice::Send(server));
+    assert_eq!(choose(&book, MAX_BACKOFF), PlainChoice::Send(server));
 }
 
 fn marks(is_leaving: bool, backoff: Option<BackoffMark>) -> ServerMarks {
