--- a/tests/relay_crash_fleet.rs
+++ b/tests/relay_crash_fleet.rs
@@ -1,4 +1,4 @@
-//! How soon hundreds of hosts know a request that ends its servers, and what telling it costs.
+//! How soon hundreds of hosts know of a request that crashes servers, and how much traffic that takes.
 
 #[allow(dead_code)]
 mod fleet_sim;
@@ -8,15 +8,17 @@
     rand::RngExt,
 };
 
-/// From three ended servers to the last host in touch that sends the request on, milliseconds: operators' bound.
-const CONTACT: u64 = 3_000;
+/// Maximum time from the third crash until no connected host sends the request any more, in milliseconds. Operators set
+/// it.
+const MAX_SPREAD_TIME: u64 = 3_000;
 
 const SIZES: [(usize, usize); 4] = [(3, 3), (4, 22), (5, 60), (7, 60)];
 
 const FATAL: u128 = 77;
 
-// Three servers end under the request at three hosts anywhere, with so many innocent requests under each.
-fn end_three(fleet: &mut SimFleet, innocent: u128) {
+// Three servers crash while running the fatal request, each time for a random host. Each also runs this many harmless
+// requests.
+fn crash_three(fleet: &mut SimFleet, harmless: u128) {
     for run in 0..3 {
         let index = loop {
             let index = fleet.rng.random_range(0..fleet.hosts.len());
@@ -25,7 +27,7 @@
             }
         };
         fleet.end_under(index, FATAL, run);
-        for other in 0..innocent {
+        for other in 0..harmless {
             let digest = 1_000 + u128::from(run) * 100 + other;
             let at = fleet.rng.random_range(0..fleet.hosts.len());
             fleet.end_under(at, digest, run);
@@ -34,81 +36,84 @@
 }
 
 #[test]
-fn all_hosts_know_within_a_second_of_the_third_end() {
+fn all_hosts_know_within_a_second_of_the_third_crash() {
     for (zones, hosts) in SIZES {
         let mut fleet = SimFleet::running(zones, hosts);
-        end_three(&mut fleet, 20);
-        let time = fleet.time_to_judge(&CALM, FATAL, |_| true, CONTACT);
+        crash_three(&mut fleet, 20);
+        let time = fleet.time_to_judge(&CALM, FATAL, |_| true, MAX_SPREAD_TIME);
         println!("{} hosts: {time} ms", fleet.hosts.len());
         assert!(time <= 1_000, "{} hosts: {time} ms", fleet.hosts.len());
     }
 }
 
 #[test]
-fn all_hosts_know_in_time_though_heads_are_killed_meanwhile() {
+fn all_hosts_know_in_time_when_zone_heads_are_killed() {
     for (zones, hosts) in SIZES {
         let mut fleet = SimFleet::running(zones, hosts);
-        // The first of each zone: its head, and with it both readers of the store.
+        // The first host of each zone is its head. This includes both readers of the store.
         for zone in 0..zones {
             fleet.hosts[zone * hosts].is_up = false;
         }
-        end_three(&mut fleet, 20);
-        let time = fleet.time_to_judge(&CALM, FATAL, |_| true, CONTACT);
+        crash_three(&mut fleet, 20);
+        let time = fleet.time_to_judge(&CALM, FATAL, |_| true, MAX_SPREAD_TIME);
         println!("{} hosts, heads killed: {time} ms", fleet.hosts.len());
     }
 }
 
 #[test]
-fn a_zone_that_was_cut_off_knows_in_time_once_it_is_back() {
-    let cut = SimTrouble {
+fn a_partitioned_zone_knows_in_time_after_it_reconnects() {
+    let partition = SimTrouble {
         store: |entry| entry.zone != "z-a",
         path: |from, to| (from.zone == "z-a") == (to.zone == "z-a"),
     };
     for (zones, hosts) in SIZES {
         let mut fleet = SimFleet::running(zones, hosts);
-        fleet.run(&cut, 500);
-        // Two ends on one side, one on the other.
+        fleet.run(&partition, 500);
+        // Two crashes on one side, one on the other.
         fleet.end_under(0, FATAL, 1);
         fleet.end_under(hosts, FATAL, 2);
         fleet.end_under(hosts + 1, FATAL, 3);
-        fleet.run(&cut, 40_000);
-        assert!(!fleet.holds_fatal(0, FATAL), "three only together");
-        let time = fleet.time_to_judge(&CALM, FATAL, |_| true, CONTACT);
-        println!("{} hosts, cut healed: {time} ms", fleet.hosts.len());
+        fleet.run(&partition, 40_000);
+        assert!(
+            !fleet.holds_fatal(0, FATAL),
+            "each side knows fewer than three crashes"
+        );
+        let time = fleet.time_to_judge(&CALM, FATAL, |_| true, MAX_SPREAD_TIME);
+        println!("{} hosts, partition healed: {time} ms", fleet.hosts.len());
         let mut fleet = SimFleet::running(zones, hosts);
-        fleet.run(&cut, 500);
+        fleet.run(&partition, 500);
         for run in 0..3 {
             fleet.end_under(hosts + 1, FATAL, run);
         }
-        fleet.time_to_judge(&cut, FATAL, |zone| zone != "z-a", CONTACT);
-        fleet.run(&cut, 40_000);
-        let time = fleet.time_to_judge(&CALM, FATAL, |_| true, CONTACT);
+        fleet.time_to_judge(&partition, FATAL, |zone| zone != "z-a", MAX_SPREAD_TIME);
+        fleet.run(&partition, 40_000);
+        let time = fleet.time_to_judge(&CALM, FATAL, |_| true, MAX_SPREAD_TIME);
         println!(
-            "{} hosts, cut healed, one side: {time} ms",
+            "{} hosts, partition healed, crashes on one side: {time} ms",
             fleet.hosts.len()
         );
     }
 }
 
 #[test]
-fn hosts_that_are_started_one_after_the_other_all_know_it_again() {
+fn hosts_restarted_one_by_one_learn_it_again() {
     let mut fleet = SimFleet::running(3, 3);
-    end_three(&mut fleet, 0);
-    fleet.time_to_judge(&CALM, FATAL, |_| true, CONTACT);
+    crash_three(&mut fleet, 0);
+    fleet.time_to_judge(&CALM, FATAL, |_| true, MAX_SPREAD_TIME);
     for index in 0..fleet.hosts.len() {
         fleet.hosts[index].is_up = false;
         fleet.run(&CALM, 1_000);
         fleet.restart(index);
-        fleet.time_to_judge(&CALM, FATAL, |_| true, CONTACT);
+        fleet.time_to_judge(&CALM, FATAL, |_| true, MAX_SPREAD_TIME);
     }
 }
 
 #[test]
-fn telling_costs_little_however_many_requests_end_servers() {
+fn traffic_stays_small_when_many_requests_crash_servers() {
     for (zones, hosts) in SIZES {
         let mut fleet = SimFleet::running(zones, hosts);
         let seconds = 30;
-        // Another one each second: it ends three servers within it, with twenty innocent requests under each.
+        // Each second a new fatal request crashes three servers, each of which also runs twenty harmless requests.
         for second in 0..seconds {
             for run in 0..3 {
                 let at = fleet.rng.random_range(0..fleet.hosts.len());
@@ -130,7 +135,7 @@
         let most = sent.iter().max().unwrap();
         let mean = sent.iter().sum::<u64>() / sent.len() as u64;
         println!("{} hosts: {mean} bytes/s, at most {most}", sent.len());
-        // Operators allow a host 4 KB a second for all that it says.
+        // Operators allow 4 KB a second for all traffic between hosts that a host sends.
         assert!(mean <= 4_096, "{mean} bytes a second");
         assert!(
             fleet
--- a/tests/relay_crash_innocents.rs
+++ b/tests/relay_crash_innocents.rs
@@ -1,7 +1,8 @@
-//! Requests that did nothing, beside ones that end their servers: how many of them are refused, and for how long.
+//! How many harmless requests are rejected, and for how long, while other requests crash servers.
 //!
-//! Nine hosts before twelve engines of twenty places, half of them taken. Each second a request comes that ends its engine,
-//! the same one for half a minute; engines end of themselves too. Whose engine ended comes again at any host.
+//! Nine hosts send to twelve engines with twenty slots each, half of them in use. Each second a request arrives that
+//! crashes its engine, the same one for half a minute; engines also crash at random. Interrupted requests are retried
+//! at any host.
 
 mod backends;
 
@@ -19,25 +20,25 @@
 
 const HOSTS: usize = 9;
 const ENGINES: usize = 12;
-const PLACES: usize = 20;
+const SLOTS: usize = 20;
 const STEP: u64 = 10;
-/// How long a simulation plays, milliseconds.
+/// Length of a simulation in milliseconds.
 const LENGTH: u64 = 600_000;
-/// Innocent requests a second, each of which runs for three seconds in the mean.
+/// Harmless requests a second; each runs for three seconds on average.
 const ARRIVALS: f64 = 40.0;
-/// Milliseconds in which an engine ends of itself once, in the mean.
-const OWN_ENDS: f64 = 120_000.0;
+/// Mean time between random crashes of an engine, in milliseconds.
+const RANDOM_CRASH_INTERVAL: f64 = 120_000.0;
 const RESTART: u64 = 3_000;
-/// Tokens of each request; twenty fill an engine.
+/// Tokens of each request; twenty requests fill an engine.
 const TOKENS: u64 = 1_000;
 
-/// The stated aim: fewer than one of a thousand is refused, none for longer than a minute.
-const REFUSED_SHARE: f64 = 0.001;
-const REFUSED_TIME: u64 = 60_000;
+/// Required: fewer than one harmless request in a thousand is rejected, and none for longer than a minute.
+const MAX_REJECTED_SHARE: f64 = 0.001;
+const MAX_REJECTED_TIME: u64 = 60_000;
 
 struct SimEngine {
     info: BackendInfo,
-    // Since when it is down.
+    // When it went down.
     down: Option<u64>,
     runs: Vec<SimRun>,
 }
@@ -47,7 +48,7 @@
     digest: RequestDigest,
     is_fatal: bool,
     tries: u32,
-    first_refused: Option<u64>,
+    first_rejected: Option<u64>,
 }
 
 struct SimRun {
@@ -61,16 +62,16 @@
     book: BackendBook,
     crashes: CrashBook,
     place: CachePosition,
-    told: u64,
+    sent_revision: u64,
 }
 
 #[derive(Default, Debug)]
 struct SimCounts {
-    innocents: u32,
-    hit: u32,
-    refused: u32,
-    longest: u64,
-    ends: u32,
+    harmless: u32,
+    interrupted: u32,
+    rejected: u32,
+    longest_rejection: u64,
+    crashes: u32,
     fatal_sends: BTreeMap<RequestDigest, Vec<u64>>,
 }
 
@@ -78,11 +79,11 @@
     now: u64,
     rng: StdRng,
     hosts: Vec<SimHost>,
-    // All hosts tell it at once, and hear from it a tenth of a second later.
+    // Aggregates the records of all hosts and sends them back every 100 ms.
     hub: CrashBook,
     engines: Vec<SimEngine>,
-    // Requests that come again, by when.
-    coming: Vec<(u64, SimRequest)>,
+    // Requests that will be retried, with the time.
+    retries: Vec<(u64, SimRequest)>,
     next_digest: u128,
     fatal: RequestDigest,
     counts: SimCounts,
@@ -102,7 +103,7 @@
             book: BackendBook::default(),
             crashes: CrashBook::new(index as u64 + 1),
             place: CachePosition::default(),
-            told: 0,
+            sent_revision: 0,
         });
         let engines = (0..ENGINES).map(|index| SimEngine {
             info: backends::backend(
@@ -119,21 +120,21 @@
             hosts: hosts.collect(),
             hub: CrashBook::new(99),
             engines: engines.collect(),
-            coming: Vec::new(),
+            retries: Vec::new(),
             next_digest: 1,
             fatal: RequestDigest(0),
             counts: SimCounts::default(),
         }
     }
 
-    fn play(mut self) -> SimCounts {
+    fn simulate(mut self) -> SimCounts {
         self.list();
         while self.now < LENGTH {
             self.arrive();
-            self.end_runs();
-            self.end_engines();
+            self.finish_runs();
+            self.crash_engines();
             if self.now.is_multiple_of(100) {
-                self.tell();
+                self.exchange();
             }
             if self.now.is_multiple_of(300) {
                 self.report();
@@ -159,12 +160,12 @@
     fn arrive(&mut self) {
         let chance = ARRIVALS * STEP as f64 / 1_000.0;
         if self.rng.random_bool(chance) {
-            self.counts.innocents += 1;
+            self.counts.harmless += 1;
             let request = SimRequest {
                 digest: self.new_digest(),
                 is_fatal: false,
                 tries: 0,
-                first_refused: None,
+                first_rejected: None,
             };
             self.send(request);
         }
@@ -176,15 +177,15 @@
                 digest: self.fatal,
                 is_fatal: true,
                 tries: 0,
-                first_refused: None,
+                first_rejected: None,
             };
             self.send(request);
         }
         let now = self.now;
         let due: Vec<SimRequest> = {
-            let coming = std::mem::take(&mut self.coming);
-            let (due, later) = coming.into_iter().partition(|(at, _)| *at <= now);
-            self.coming = later;
+            let retries = std::mem::take(&mut self.retries);
+            let (due, later) = retries.into_iter().partition(|(at, _)| *at <= now);
+            self.retries = later;
             let due: Vec<(u64, SimRequest)> = due;
             due.into_iter().map(|(_, request)| request).collect()
         };
@@ -193,11 +194,11 @@
         }
     }
 
-    fn come_again(&mut self, mut request: SimRequest) {
+    fn retry(&mut self, mut request: SimRequest) {
         request.tries += 1;
         if !request.is_fatal && request.tries <= 4 {
             let pause = self.rng.random_range(300..1_000);
-            self.coming.push((self.now + pause, request));
+            self.retries.push((self.now + pause, request));
         }
     }
 
@@ -212,10 +213,10 @@
         };
         if !is_sent {
             if !request.is_fatal {
-                let first = *request.first_refused.get_or_insert(self.now);
-                self.counts.refused += u32::from(first == self.now);
-                self.counts.longest = self.counts.longest.max(self.now - first);
-                self.coming.push((self.now + 1_000, request));
+                let first = *request.first_rejected.get_or_insert(self.now);
+                self.counts.rejected += u32::from(first == self.now);
+                self.counts.longest_rejection = self.counts.longest_rejection.max(self.now - first);
+                self.retries.push((self.now + 1_000, request));
             }
             return;
         }
@@ -226,11 +227,11 @@
             .rank_decodes("one", zone_of(at), TOKENS, Some(17_000), now);
         let chosen = ranked.into_iter().find_map(|info| {
             self.engines.iter().position(|engine| {
-                engine.info.id == info.id && engine.down.is_none() && engine.runs.len() < PLACES
+                engine.info.id == info.id && engine.down.is_none() && engine.runs.len() < SLOTS
             })
         });
         let Some(engine) = chosen else {
-            self.coming.push((self.now + 500, request));
+            self.retries.push((self.now + 500, request));
             return;
         };
         let id = self.engines[engine].info.id.clone();
@@ -259,7 +260,7 @@
         book.memory_freed(id, TOKENS);
     }
 
-    fn end_runs(&mut self) {
+    fn finish_runs(&mut self) {
         for engine in 0..ENGINES {
             let runs = std::mem::take(&mut self.engines[engine].runs);
             let (over, running): (Vec<SimRun>, Vec<SimRun>) =
@@ -269,7 +270,7 @@
                 self.finish(engine, run);
                 if run.request.is_fatal {
                     let (digest, host) = (run.request.digest, run.host);
-                    self.end_engine(engine, Some((digest, host)));
+                    self.crash_engine(engine, Some((digest, host)));
                 } else {
                     let crashes = &mut self.hosts[run.host].crashes;
                     crashes.note_good_run(run.request.digest, time(self.now));
@@ -278,11 +279,11 @@
         }
     }
 
-    fn end_engines(&mut self) {
+    fn crash_engines(&mut self) {
         for engine in 0..ENGINES {
-            let chance = STEP as f64 / OWN_ENDS;
+            let chance = STEP as f64 / RANDOM_CRASH_INTERVAL;
             match self.engines[engine].down {
-                None if self.rng.random_bool(chance) => self.end_engine(engine, None),
+                None if self.rng.random_bool(chance) => self.crash_engine(engine, None),
                 Some(since) if self.now >= since + RESTART => {
                     self.engines[engine].down = None;
                     self.engines[engine].info.born = self.now;
@@ -293,11 +294,11 @@
         }
     }
 
-    fn end_engine(&mut self, engine: usize, cause: Option<(RequestDigest, usize)>) {
+    fn crash_engine(&mut self, engine: usize, cause: Option<(RequestDigest, usize)>) {
         if self.engines[engine].down.is_some() {
             return;
         }
-        self.counts.ends += 1;
+        self.counts.crashes += 1;
         self.engines[engine].down = Some(self.now);
         let info = self.engines[engine].info.clone();
         let key = EngineKey::of_run(&info.id, info.born);
@@ -310,17 +311,17 @@
         }
         for run in runs {
             self.finish(engine, &run);
-            self.counts.hit += u32::from(run.request.tries == 0);
-            self.come_again(run.request);
+            self.counts.interrupted += u32::from(run.request.tries == 0);
+            self.retry(run.request);
         }
         self.list();
     }
 
-    fn tell(&mut self) {
+    fn exchange(&mut self) {
         let now = time(self.now);
         for host in &mut self.hosts {
-            let marks = host.crashes.reported_since(Some(host.told), now);
-            host.told = host.crashes.place().revision;
+            let marks = host.crashes.reported_since(Some(host.sent_revision), now);
+            host.sent_revision = host.crashes.place().revision;
             self.hub.take(&marks, MarkSource::Reported, now);
         }
         for host in &mut self.hosts {
@@ -348,25 +349,29 @@
 }
 
 #[test]
-fn the_innocent_are_served_and_the_fatal_are_sent_to_few() {
+fn harmless_requests_are_served_and_fatal_ones_reach_few_servers() {
     for seed in 1..=5 {
-        let counts = CrashSim::new(seed).play();
-        let share = f64::from(counts.refused) / f64::from(counts.innocents);
+        let counts = CrashSim::new(seed).simulate();
+        let share = f64::from(counts.rejected) / f64::from(counts.harmless);
         println!(
-            "seed {seed}: {} ends; of {} innocent requests {} lost an engine, {} were refused ({share:.5}), at \
-             most for {} ms",
-            counts.ends, counts.innocents, counts.hit, counts.refused, counts.longest
+            "seed {seed}: {} crashes; of {} harmless requests {} were interrupted and {} were rejected ({share:.5}), for \
+             at most {} ms",
+            counts.crashes,
+            counts.harmless,
+            counts.interrupted,
+            counts.rejected,
+            counts.longest_rejection
         );
-        assert!(share < REFUSED_SHARE, "seed {seed}: {share}");
+        assert!(share < MAX_REJECTED_SHARE, "seed {seed}: {share}");
         assert!(
-            counts.longest <= REFUSED_TIME,
+            counts.longest_rejection <= MAX_REJECTED_TIME,
             "seed {seed}: {} ms",
-            counts.longest
+            counts.longest_rejection
         );
         for (digest, sends) in &counts.fatal_sends {
-            // Three ends, what was under way then, and the trials.
+            // Allows the three crashes, the requests already sent by then, and the trials.
             let later = sends.iter().filter(|at| **at > sends[0] + 6_000).count();
-            assert!(later <= 3, "seed {seed}: {digest} is sent {sends:?}");
+            assert!(later <= 3, "seed {seed}: {digest} was sent at {sends:?}");
         }
     }
 }
--- a/tests/relay_crashes.rs
+++ b/tests/relay_crashes.rs
@@ -1,4 +1,4 @@
-//! Which requests are held to end their servers, by what hosts saw and told each other.
+//! Verdicts on requests that crash servers, from the crashes that hosts observed and exchanged.
 
 use {
     bayplank::relay::{
@@ -20,9 +20,9 @@
     EngineKey(number)
 }
 
-fn book_with_ends(ends: u32, now: Duration) -> CrashBook {
+fn book_with_crashes(crashes: u32, now: Duration) -> CrashBook {
     let mut book = CrashBook::new(1);
-    for number in 0..ends {
+    for number in 0..crashes {
         book.note_end(FATAL, run(number), now);
     }
     book
@@ -36,7 +36,7 @@
     )
 }
 
-// All that a book would tell anybody.
+// All records that a book would send to any host.
 fn all_marks(book: &CrashBook, now: Duration) -> Vec<CrashMark> {
     let mut marks = book.news_since(CachePosition::default(), now).marks;
     marks.extend(book.reported_since(Some(0), now));
@@ -44,21 +44,21 @@
 }
 
 #[test]
-fn three_ended_servers_make_a_request_fatal_and_two_do_not() {
+fn a_request_is_fatal_after_three_crashes_and_not_after_two() {
     let now = seconds(10);
-    for (ends, judgement) in [
+    for (crashes, verdict) in [
         (0, CrashJudgement::Harmless),
         (1, CrashJudgement::Suspected(1)),
         (2, CrashJudgement::Suspected(2)),
         (3, CrashJudgement::Fatal(seconds(40))),
     ] {
-        assert_eq!(book_with_ends(ends, now).judge(FATAL, now), judgement);
+        assert_eq!(book_with_crashes(crashes, now).judge(FATAL, now), verdict);
     }
 }
 
 #[test]
-fn the_change_is_told_once() {
-    let mut book = book_with_ends(2, seconds(1));
+fn a_change_of_verdict_is_returned_once() {
+    let mut book = book_with_crashes(2, seconds(1));
     let third = book.note_end(FATAL, run(2), seconds(2));
     assert_eq!(third, Some(CrashChange::Judged));
     assert_eq!(book.note_end(FATAL, run(3), seconds(2)), None);
@@ -67,9 +67,9 @@
 }
 
 #[test]
-fn a_server_run_counts_once_whoever_saw_it_end() {
+fn a_crashed_run_counts_once_however_many_hosts_saw_it() {
     let now = seconds(10);
-    let mut book = book_with_ends(2, now);
+    let mut book = book_with_crashes(2, now);
     for host in 2..9 {
         let mut other = CrashBook::new(host);
         other.note_end(FATAL, run(0), now);
@@ -80,13 +80,13 @@
 }
 
 #[test]
-fn a_run_that_ends_well_excuses_what_was_counted_and_nothing_after_it() {
+fn a_completed_request_excuses_earlier_crashes_and_no_later_ones() {
     let now = seconds(10);
-    let mut book = book_with_ends(3, now);
+    let mut book = book_with_crashes(3, now);
     book.note_good_run(FATAL, now);
     assert_eq!(book.judge(FATAL, now), CrashJudgement::Harmless);
-    // Told again by one who has not heard of the good run.
-    let late = all_marks(&book_with_ends(3, now), now);
+    // The same crashes from a host that does not know that the request completed.
+    let late = all_marks(&book_with_crashes(3, now), now);
     book.take(&late, MarkSource::Told, now);
     assert_eq!(book.judge(FATAL, now), CrashJudgement::Harmless);
     book.note_end(FATAL, run(9), now);
@@ -94,17 +94,17 @@
 }
 
 #[test]
-fn nobody_is_refused_for_longer_than_a_minute_without_a_trial() {
-    let mut book = book_with_ends(3, seconds(10));
-    let judged = |book: &CrashBook, at: u64| book.judge(FATAL, seconds(at));
-    assert_eq!(judged(&book, 49), CrashJudgement::Fatal(seconds(1)));
-    assert_eq!(judged(&book, 50), CrashJudgement::TrialDue);
+fn a_fatal_request_gets_a_trial_within_a_minute() {
+    let mut book = book_with_crashes(3, seconds(10));
+    let verdict = |book: &CrashBook, at: u64| book.judge(FATAL, seconds(at));
+    assert_eq!(verdict(&book, 49), CrashJudgement::Fatal(seconds(1)));
+    assert_eq!(verdict(&book, 50), CrashJudgement::TrialDue);
     assert!(book.grant_trial(FATAL, seconds(52)));
     assert!(!book.grant_trial(FATAL, seconds(52)), "one trial");
-    assert!(matches!(judged(&book, 52), CrashJudgement::Fatal(_)));
-    // It fails by chance, and there is another one within the minute.
+    assert!(matches!(verdict(&book, 52), CrashJudgement::Fatal(_)));
+    // The trial fails by chance; a second one follows within the minute.
     book.note_end(FATAL, run(3), seconds(53));
-    assert_eq!(judged(&book, 65), CrashJudgement::TrialDue);
+    assert_eq!(verdict(&book, 65), CrashJudgement::TrialDue);
     assert!(book.grant_trial(FATAL, seconds(65)));
     assert_eq!(
         book.note_good_run(FATAL, seconds(66)),
@@ -113,14 +113,17 @@
 }
 
 #[test]
-fn marks_are_told_only_where_they_matter() {
+fn a_single_crash_is_reported_only_to_aggregating_hosts() {
     let now = seconds(10);
     let mut book = CrashBook::new(3);
-    for innocent in 100..120 {
-        book.note_end(RequestDigest(innocent), run(1), now);
+    for digest in 100..120 {
+        book.note_end(RequestDigest(digest), run(1), now);
     }
     let news = book.news_since(CachePosition::default(), now);
-    assert!(news.marks.is_empty(), "one end is nobody's affair");
+    assert!(
+        news.marks.is_empty(),
+        "a single crash is not sent to all hosts"
+    );
     assert_eq!(book.reported_since(None, now).len(), 20);
     book.note_end(RequestDigest(100), run(2), now);
     let next = book.news_since(news.place, now);
@@ -128,14 +131,17 @@
     assert!(book.news_since(next.place, now).marks.is_empty());
     book.note_good_run(RequestDigest(100), now);
     assert_eq!(book.news_since(next.place, now).marks.len(), 1);
-    let told_late = book.reported_since(None, now + seconds(31));
-    assert!(told_late.is_empty(), "whoever added up before has told it");
+    let late_report = book.reported_since(None, now + seconds(31));
+    assert!(
+        late_report.is_empty(),
+        "the previous aggregator has distributed it"
+    );
 }
 
 #[test]
-fn what_is_told_around_grows_neither_older_nor_newer() {
-    // Forth and back a thousand times, each time some milliseconds later.
-    let mut books = [book_with_ends(3, seconds(10)), CrashBook::new(2)];
+fn repeated_exchange_changes_no_ages() {
+    // The records go back and forth a thousand times, each time 3.7 ms later.
+    let mut books = [book_with_crashes(3, seconds(10)), CrashBook::new(2)];
     let mut now = seconds(10);
     let mut changes = 0;
     for turn in 0..1_000 {
@@ -149,8 +155,8 @@
 }
 
 #[test]
-fn made_up_requests_push_out_none_that_is_fatal() {
-    let mut book = book_with_ends(3, seconds(10));
+fn a_flood_of_requests_evicts_no_fatal_one() {
+    let mut book = book_with_crashes(3, seconds(10));
     for number in 1_000..5_000 {
         let now = seconds(10) + Duration::from_millis(number as u64);
         book.note_end(RequestDigest(number), run(number as u32), now);
@@ -160,20 +166,23 @@
 }
 
 #[test]
-fn a_request_is_forgotten_half_an_hour_after_it_came_last() {
-    let mut book = book_with_ends(3, seconds(10));
+fn a_record_expires_half_an_hour_after_its_request_was_last_seen() {
+    let mut book = book_with_crashes(3, seconds(10));
     for minute in 1..=120 {
         book.note_seen(FATAL, seconds(10 + minute * 60));
     }
-    assert!(is_fatal(&book, seconds(7_300)), "it kept coming");
+    assert!(
+        is_fatal(&book, seconds(7_300)),
+        "the request was seen every minute"
+    );
     let later = seconds(7_300 + 1_800);
     book.note_end(RequestDigest(8), run(1), later);
     assert!(!is_fatal(&book, later));
 }
 
-// What hosts do in the property below.
-fn play(books: &mut [CrashBook], steps: &[(u8, u8, u8)], now: Duration) {
-    let mut letters: Vec<Vec<CrashMark>> = Vec::new();
+// Applies random steps to the books of several hosts, for the property test below.
+fn apply_steps(books: &mut [CrashBook], steps: &[(u8, u8, u8)], now: Duration) {
+    let mut messages: Vec<Vec<CrashMark>> = Vec::new();
     for (step, at, what) in steps {
         let at = usize::from(*at) % books.len();
         let digest = RequestDigest(u128::from(what % 3));
@@ -184,32 +193,32 @@
             2 => {
                 books[at].note_good_run(digest, now);
             }
-            3 => letters.push(all_marks(&books[at], now)),
-            // Heard twice, late and out of order.
-            4 if !letters.is_empty() => {
-                let letter = &letters[usize::from(*what) % letters.len()];
-                books[at].take(letter, MarkSource::Reported, now);
+            3 => messages.push(all_marks(&books[at], now)),
+            // Messages arrive repeatedly, late and out of order.
+            4 if !messages.is_empty() => {
+                let message = &messages[usize::from(*what) % messages.len()];
+                books[at].take(message, MarkSource::Reported, now);
             }
             4 => {}
-            // One that starts anew is told what another one knows.
+            // A restarted host receives the records of another one.
             _ => {
-                let told = all_marks(&books[(at + 1) % books.len()], now);
+                let received = all_marks(&books[(at + 1) % books.len()], now);
                 books[at] = CrashBook::new(u64::from(*what) + 100);
-                books[at].take(&told, MarkSource::Told, now);
+                books[at].take(&received, MarkSource::Told, now);
             }
         }
     }
 }
 
 #[test]
-fn hosts_that_heard_the_same_come_to_the_same_judgement() {
+fn hosts_with_the_same_records_reach_the_same_verdict() {
     check!()
         .with_type::<Vec<(u8, u8, u8)>>()
         .for_each(|steps: &Vec<(u8, u8, u8)>| {
             let now = seconds(10);
             let mut books: Vec<CrashBook> = (1..=4).map(CrashBook::new).collect();
-            play(&mut books, steps, now);
-            // All hear all, in opposite orders.
+            apply_steps(&mut books, steps, now);
+            // All books exchange all records, senders and receivers in opposite orders.
             for _ in 0..2 {
                 for (from, to) in (0..4).flat_map(|from| (0..4).rev().map(move |to| (from, to))) {
                     let marks = all_marks(&books[from], now);
@@ -217,20 +226,23 @@
                 }
             }
             for digest in (0..3).map(RequestDigest) {
-                let judged: Vec<bool> = books
+                let verdicts: Vec<bool> = books
                     .iter()
                     .map(|book| matches!(book.judge(digest, now), CrashJudgement::Fatal(_)))
                     .collect();
-                assert!(judged.iter().all(|fatal| *fatal == judged[0]), "{judged:?}");
+                assert!(
+                    verdicts.iter().all(|fatal| *fatal == verdicts[0]),
+                    "{verdicts:?}"
+                );
             }
         });
 }
 
 #[test]
-fn no_more_than_three_sends_follow_a_judgement_known_everywhere() {
-    // Seven hosts, a copy each second at one of them for two hours; each that is sent ends a server.
+fn a_request_known_as_fatal_everywhere_is_sent_at_most_three_times() {
+    // For two hours, one of seven hosts receives the request each second. Each send crashes a server.
     let mut books: Vec<CrashBook> = (1..=7).map(CrashBook::new).collect();
-    let first = book_with_ends(3, seconds(10));
+    let first = book_with_crashes(3, seconds(10));
     let marks = all_marks(&first, seconds(10));
     for book in &mut books {
         book.take(&marks, MarkSource::Told, seconds(10));
@@ -242,7 +254,7 @@
         books[at].note_seen(FATAL, now);
         let is_sent = match books[at].judge(FATAL, now) {
             CrashJudgement::Fatal(_) => false,
-            // All ask the same host.
+            // All hosts ask the same host for the trial.
             CrashJudgement::TrialDue => books[3].grant_trial(FATAL, now),
             CrashJudgement::Harmless | CrashJudgement::Suspected(_) => true,
         };
@@ -259,7 +271,7 @@
 }
 
 #[test]
-fn requests_are_told_apart_by_account_path_and_body() {
+fn digests_differ_by_account_path_and_body() {
     let all = [
         RequestDigest::of("", "/a/1", b"x"),
         RequestDigest::of("a", "/a/1", b"x"),
@@ -270,16 +282,16 @@
         RequestDigest::of("", "/a/", b"1x"),
         RequestDigest::of("/a", "/1", b"x"),
     ];
-    for (place, digest) in all.iter().enumerate() {
-        assert!(!all[place + 1..].contains(digest), "number {place}");
+    for (index, digest) in all.iter().enumerate() {
+        assert!(!all[index + 1..].contains(digest), "digest {index}");
     }
     assert_eq!(all[0], RequestDigest::of("", "/a/1", b"x"));
 }
 
-// Processor time of this thread: other processes on the machine do not count.
+// CPU time of this thread, so that other processes do not affect the measurement.
 fn thread_time() -> Duration {
     let time = clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID);
-    Duration::from(time.expect("a clock of the thread"))
+    Duration::from(time.expect("the thread CPU clock"))
 }
 
 #[test]
@@ -293,8 +305,8 @@
         })
         .collect();
     times.sort();
-    println!("64 KiB are summed up in {:?}", times[50]);
-    // Code that is not optimised takes some forty times as long.
+    println!("64 KiB are hashed in {:?}", times[50]);
+    // Unoptimized code takes about forty times as long.
     let bound = match cfg!(debug_assertions) {
         true => Duration::from_millis(10),
         false => Duration::from_micros(50),
