--- a/tests/permit_sim/mod.rs
+++ b/tests/permit_sim/mod.rs
@@ -1,7 +1,7 @@
-//! Hundreds of hosts before rate-limited servers, as state machines on a clock of their own.
+//! Simulates hundreds of hosts in front of rate-limited servers, on a virtual clock.
 //!
-//! Books, allocators and owners are the code that runs; demand, ways between hosts and troubles are this file's. Requests are
-//! counted at the servers, as their operators count them.
+//! Limits, permit allocation and owner selection use the production code; demand, network and faults are simulated
+//! here. Requests are counted at the servers, in the same way as operators count them.
 
 use {
     bayplank::relay::{
@@ -13,82 +13,83 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Length of a step, milliseconds.
+/// Length of a step in milliseconds. All times are in milliseconds.
 const STEP: u64 = 5;
-/// Time from a send until the server's answer is read.
-const ANSWER_TIME: u64 = 30;
-/// Time until all hosts in reach have heard that a server is rate-limited, where they are told.
-const TELL_TIME: u64 = 400;
-/// Hosts that are asked for a permit one after the other, and servers that are tried.
+/// Time from sending a request until the server's response is read.
+const RESPONSE_TIME: u64 = 30;
+/// Time until an update about a rate-limited server reaches all reachable hosts.
+const UPDATE_TIME: u64 = 400;
+/// Maximum number of owners asked for a permit, and of servers tried per request.
 const OWNERS_ASKED: usize = 2;
 const SERVERS_TRIED: usize = 4;
-/// Bounds of the operators: when the bound counts after a server first named a limit, and when a host after its first answer.
-const CONTACT: u64 = 3_000;
-const TOLD: u64 = 500;
+/// Operators' rules: how long after a server first stated a limit it must be kept, how long after a host's first
+/// response with a limit its requests count, and the window in which requests are counted.
+const SERVER_GRACE: u64 = 3_000;
+const HOST_GRACE: u64 = 500;
 const WINDOW: u64 = 4_000;
 
-/// Which hosts callers come to.
+/// How requests are distributed between hosts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum SimDemand {
-    /// All alike.
+    /// Evenly to all hosts.
     All,
-    /// One alone.
+    /// All to one host.
     One(usize),
-    /// One after the other, for a second each.
+    /// All to one host at a time, the next one each second.
     Moving,
 }
 
 struct SimHost {
     entry: HostEntry,
     is_up: bool,
-    // Hosts with another number do not reach each other.
-    side: usize,
-    heard: u64,
+    // Only hosts with the same number reach each other.
+    partition: usize,
+    last_heard: u64,
     limits: LimitBook,
     allocator: PermitAllocator,
-    alone: PermitAllocator,
+    isolated: PermitAllocator,
     owners: PermitOwners,
-    // When it first passed an answer on that names a limit, by server.
-    told: BTreeMap<usize, u64>,
+    // When the host first read a response with a limit, by server.
+    first_response: BTreeMap<usize, u64>,
 }
 
 struct SimServer {
     key: EngineKey,
     zone: FastStr,
     limit: Option<f64>,
-    first_named: Option<u64>,
-    // What came since the bound counts, from hosts that were told: when.
+    first_limited: Option<u64>,
+    // The times of the requests that count against the limit.
     counted: Vec<u64>,
     arrived: u64,
 }
 
-/// What became of the requests, and what hosts said to each other.
+/// Counts of requests by outcome, and of permit requests between hosts.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct SimCounts {
     pub sent: u64,
-    pub held_back: u64,
-    pub asks: u64,
+    pub rejected: u64,
+    pub permit_requests: u64,
 }
 
-/// A fleet.
+/// A simulated fleet.
 pub struct PermitSim {
     pub now: u64,
     hosts: Vec<SimHost>,
     servers: Vec<SimServer>,
-    // Entries of the hosts of each zone, and its servers.
+    // The host entries and the servers of each zone.
     entries: BTreeMap<FastStr, Vec<HostEntry>>,
     zone_servers: BTreeMap<FastStr, Vec<usize>>,
     pub demand: SimDemand,
-    // Requests a second, of the whole fleet.
+    // Requests a second to the whole fleet.
     pub rate: f64,
-    // Whether hosts are told of needs that others heard.
-    pub is_telling: bool,
-    answers: BTreeMap<u64, Vec<(usize, usize, u64)>>,
-    tellings: BTreeMap<u64, Vec<(usize, usize, LimitSaying)>>,
+    // Whether hosts send each other updates about rate-limited servers.
+    pub sends_updates: bool,
+    responses: BTreeMap<u64, Vec<(usize, usize, u64)>>,
+    updates: BTreeMap<u64, Vec<(usize, usize, LimitSaying)>>,
     due: f64,
     rng: StdRng,
     pub counts: SimCounts,
-    answered: Vec<u64>,
+    handled: Vec<u64>,
 }
 
 fn millis(time: u64) -> Duration {
@@ -107,19 +108,19 @@
                 strength: 0,
             },
             is_up: true,
-            side: 0,
-            heard: 0,
+            partition: 0,
+            last_heard: 0,
             limits: LimitBook::new(&format!("host-{index}")),
             allocator: PermitAllocator::default(),
-            alone: PermitAllocator::default(),
+            isolated: PermitAllocator::default(),
             owners: PermitOwners::default(),
-            told: BTreeMap::new(),
+            first_response: BTreeMap::new(),
         };
         let server = |index: usize| SimServer {
             key: EngineKey::of(&format!("server-{index}")),
             zone: zone(index),
             limit,
-            first_named: None,
+            first_limited: None,
             counted: Vec::new(),
             arrived: 0,
         };
@@ -139,16 +140,16 @@
         }
         Self {
             now: 0,
-            answered: vec![0; hosts.len()],
+            handled: vec![0; hosts.len()],
             hosts,
             servers,
             entries,
             zone_servers,
             demand: SimDemand::All,
             rate: 0.0,
-            is_telling: true,
-            answers: BTreeMap::new(),
-            tellings: BTreeMap::new(),
+            sends_updates: true,
+            responses: BTreeMap::new(),
+            updates: BTreeMap::new(),
             due: 0.0,
             rng: StdRng::seed_from_u64(seed),
             counts: SimCounts::default(),
@@ -159,35 +160,35 @@
         self.servers[server].limit = limit;
     }
 
-    /// Requests that a server got so far.
+    /// The number of requests that a server got so far.
     pub fn arrived(&self, server: usize) -> u64 {
         self.servers[server].arrived
     }
 
-    /// Hosts of a zone are cut off from all others, or no more.
-    pub fn cut_zone(&mut self, zone: &str, is_cut: bool) {
+    /// Partitions the hosts of a zone from all others, or reconnects them.
+    pub fn partition_zone(&mut self, zone: &str, is_partitioned: bool) {
         for host in &mut self.hosts {
             if host.entry.zone == zone {
-                host.side = usize::from(is_cut);
+                host.partition = usize::from(is_partitioned);
             }
         }
     }
 
-    /// One host reaches no other any more, or does again.
-    pub fn cut_host(&mut self, index: usize, is_cut: bool) {
-        self.hosts[index].side = if is_cut { index + 2 } else { 0 };
+    /// Partitions one host from all others, or reconnects it.
+    pub fn partition_host(&mut self, index: usize, is_partitioned: bool) {
+        self.hosts[index].partition = if is_partitioned { index + 2 } else { 0 };
     }
 
-    /// Hosts are killed; their entries stay. What they knew is gone when they start again.
+    /// Kills hosts. Their entries stay listed, and their state is lost.
     pub fn kill(&mut self, killed: impl Iterator<Item = usize>) {
         for index in killed {
             let host = &mut self.hosts[index];
             host.is_up = false;
             host.limits = LimitBook::new(&host.entry.name);
             host.allocator = PermitAllocator::default();
-            host.alone = PermitAllocator::default();
+            host.isolated = PermitAllocator::default();
             host.owners = PermitOwners::default();
-            host.told.clear();
+            host.first_response.clear();
         }
     }
 
@@ -197,12 +198,12 @@
         }
     }
 
-    /// The host that allocates permits at a server, as a host of its zone sees it.
+    /// The owner of a server's permits from the view of a new host in its zone.
     pub fn owner_of(&self, server: usize) -> usize {
-        let about = &self.servers[server];
-        let entries = self.entries[&about.zone].iter();
-        let fresh = PermitOwners::default();
-        let owner = fresh.owner(entries, &about.zone, about.key, millis(self.now));
+        let target = &self.servers[server];
+        let entries = self.entries[&target.zone].iter();
+        let owners = PermitOwners::default();
+        let owner = owners.owner(entries, &target.zone, target.key, millis(self.now));
         usize::from(owner.expect("a host").peers.port())
     }
 
@@ -216,23 +217,23 @@
 
     fn step(&mut self) {
         let now = self.now;
-        self.hear_peers();
+        self.receive_reports();
         while let Some(entry) = self
-            .answers
+            .responses
             .first_entry()
             .filter(|entry| *entry.key() <= now)
         {
             for (host, server, sent) in entry.remove() {
-                self.read_answer(host, server, sent);
+                self.read_response(host, server, sent);
             }
         }
         while let Some(entry) = self
-            .tellings
+            .updates
             .first_entry()
             .filter(|entry| *entry.key() <= now)
         {
             for (from, server, saying) in entry.remove() {
-                self.tell(from, server, saying);
+                self.deliver_update(from, server, saying);
             }
         }
         self.due += self.rate * STEP as f64 / 1_000.0;
@@ -249,26 +250,26 @@
         }
     }
 
-    // Hosts report to each other twice a second.
-    fn hear_peers(&mut self) {
+    // Hosts report to each other every 500 ms.
+    fn receive_reports(&mut self) {
         if !self.now.is_multiple_of(500) {
             return;
         }
         for index in 0..self.hosts.len() {
-            let hears =
+            let is_reached =
                 (0..self.hosts.len()).any(|other| other != index && self.reaches(index, other));
-            if hears {
-                self.hosts[index].heard = self.now;
+            if is_reached {
+                self.hosts[index].last_heard = self.now;
             }
         }
     }
 
     fn reaches(&self, one: usize, other: usize) -> bool {
         let (one, other) = (&self.hosts[one], &self.hosts[other]);
-        one.is_up && other.is_up && one.side == other.side
+        one.is_up && other.is_up && one.partition == other.partition
     }
 
-    fn read_answer(&mut self, host: usize, server: usize, sent: u64) {
+    fn read_response(&mut self, host: usize, server: usize, sent: u64) {
         let limit = self.servers[server].limit.and_then(ServerLimit::new);
         let key = self.servers[server].key;
         let now = millis(self.now);
@@ -280,15 +281,18 @@
         self.hosts[host].limits.take(key, saying, now);
         self.mark_own(host, server);
         if limit.is_some() {
-            self.servers[server].first_named.get_or_insert(self.now);
-            self.hosts[host].told.entry(server).or_insert(self.now);
+            self.servers[server].first_limited.get_or_insert(self.now);
+            self.hosts[host]
+                .first_response
+                .entry(server)
+                .or_insert(self.now);
         }
         if was.is_some() == limit.is_some() {
             return;
         }
-        if self.is_telling {
-            let at = self.now + TELL_TIME;
-            self.tellings
+        if self.sends_updates {
+            let at = self.now + UPDATE_TIME;
+            self.updates
                 .entry(at)
                 .or_default()
                 .push((host, server, saying));
@@ -300,11 +304,11 @@
                 wanted: 0,
                 rank: u8::MAX,
             };
-            self.deal(host, server, &ask);
+            self.request_permits(host, server, &ask);
         }
     }
 
-    fn tell(&mut self, from: usize, server: usize, saying: LimitSaying) {
+    fn deliver_update(&mut self, from: usize, server: usize, saying: LimitSaying) {
         let key = self.servers[server].key;
         for index in 0..self.hosts.len() {
             if self.reaches(from, index) {
@@ -316,17 +320,17 @@
 
     fn mark_own(&mut self, host: usize, server: usize) {
         let key = self.servers[server].key;
-        // Hosts of other zones than the server's keep none there.
+        // Only hosts of the server's zone can be the owner.
         let is_near = self.hosts[host].entry.zone == self.servers[server].zone;
         let is_own = is_near && self.owner_seen_by(host, server) == Some(host);
         self.hosts[host].limits.set_own(key, is_own);
     }
 
-    // As a host does: servers one after the other until one has a permit for it.
+    // Like a host, tries servers one after the other until one has a permit for the request.
     fn request(&mut self, host: usize) {
         let mut tried = Vec::new();
         for _ in 0..SERVERS_TRIED {
-            let server = self.draw_server(host, &tried);
+            let server = self.select_server(host, &tried);
             let Some(server) = server else { break };
             tried.push(server);
             if self.take_permit(host, server) {
@@ -334,11 +338,12 @@
                 return;
             }
         }
-        self.counts.held_back += 1;
+        self.counts.rejected += 1;
     }
 
-    // Servers of the own zone first, those without a limit, then in the host's own order.
-    fn draw_server(&mut self, host: usize, tried: &[usize]) -> Option<usize> {
+    // Prefers servers of the host's own zone. Within a zone, servers without a limit come first, then the others in the
+    // host's own order.
+    fn select_server(&mut self, host: usize, tried: &[usize]) -> Option<usize> {
         let zone = self.hosts[host].entry.zone.clone();
         let near = self.zone_servers.get(&zone).cloned().unwrap_or_default();
         if let Some(server) = self.best_server(host, &near, tried) {
@@ -351,15 +356,15 @@
     fn best_server(&mut self, host: usize, among: &[usize], tried: &[usize]) -> Option<usize> {
         let now = millis(self.now);
         let limits = &self.hosts[host].limits;
-        let noise = self.rng.random_range(0..self.servers.len());
-        let left = among.iter().filter(|index| {
+        let offset = self.rng.random_range(0..self.servers.len());
+        let candidates = among.iter().filter(|index| {
             let key = self.servers[**index].key;
             let is_empty = matches!(limits.permit(key, 1, now), PermitState::Empty(_));
             !tried.contains(index) && !is_empty
         });
-        let best = left.min_by_key(|index| {
-            let drawn = (**index + noise) % self.servers.len();
-            (limits.order(self.servers[**index].key, now), drawn)
+        let best = candidates.min_by_key(|index| {
+            let tie_break = (**index + offset) % self.servers.len();
+            (limits.order(self.servers[**index].key, now), tie_break)
         });
         best.copied()
     }
@@ -377,7 +382,7 @@
             .limits
             .ask(key, 1, now)
             .expect("rate-limited");
-        let grant = self.deal(host, server, &ask);
+        let grant = self.request_permits(host, server, &ask);
         let limits = &mut self.hosts[host].limits;
         limits.take(key, grant.saying, now);
         limits.take_grant(key, 1, &grant, now);
@@ -387,16 +392,16 @@
         }
     }
 
-    fn deal(&mut self, host: usize, server: usize, ask: &PermitRequest) -> PermitGrant {
+    fn request_permits(&mut self, host: usize, server: usize, ask: &PermitRequest) -> PermitGrant {
         let now = millis(self.now);
         for _ in 0..OWNERS_ASKED {
             let Some(owner) = self.owner_seen_by(host, server) else {
                 break;
             };
             if owner == host {
-                let is_in_touch = self.now - self.hosts[host].heard < 2_000;
-                if is_in_touch || self.others_left(host) == 0 {
-                    return self.deal_to_all(host, ask);
+                let is_in_touch = self.now - self.hosts[host].last_heard < 2_000;
+                if is_in_touch || self.peers_not_gone(host) == 0 {
+                    return self.allocate_as_owner(host, ask);
                 }
                 break;
             }
@@ -407,10 +412,10 @@
                     saying: ask.saying,
                 };
             }
-            self.counts.asks += 1;
-            self.answered[owner] += 1;
+            self.counts.permit_requests += 1;
+            self.handled[owner] += 1;
             if self.reaches(host, owner) {
-                let grant = self.answer(owner, server, ask);
+                let grant = self.handle_permit_request(owner, server, ask);
                 let name = self.hosts[owner].entry.name.clone();
                 let owners = &mut self.hosts[host].owners;
                 owners.note_heard(&name);
@@ -421,41 +426,46 @@
             }
             self.note_silent(host, owner);
         }
-        let hosts = self.others_left(host) + 1;
+        let hosts = self.peers_not_gone(host) + 1;
         let level = self.rng.random();
         self.hosts[host]
-            .alone
+            .isolated
             .allocate_alone(ask, hosts, level, now)
     }
 
     fn owner_seen_by(&self, host: usize, server: usize) -> Option<usize> {
-        let about = &self.servers[server];
-        let entries = self.entries[&about.zone].iter();
+        let target = &self.servers[server];
+        let entries = self.entries[&target.zone].iter();
         let owners = &self.hosts[host].owners;
-        let owner = owners.owner(entries, &about.zone, about.key, millis(self.now))?;
+        let owner = owners.owner(entries, &target.zone, target.key, millis(self.now))?;
         Some(usize::from(owner.peers.port()))
     }
 
-    // A host that is taken for the owner passes the question on where it knows another.
-    fn answer(&mut self, host: usize, server: usize, ask: &PermitRequest) -> PermitGrant {
+    // A host that is asked for permits forwards the request if it considers another host to be the owner.
+    fn handle_permit_request(
+        &mut self,
+        host: usize,
+        server: usize,
+        ask: &PermitRequest,
+    ) -> PermitGrant {
         let other = self
             .owner_seen_by(host, server)
             .filter(|owner| *owner != host);
         let Some(owner) = other else {
-            return self.deal_to_all(host, ask);
+            return self.allocate_as_owner(host, ask);
         };
-        self.counts.asks += 1;
-        self.answered[owner] += 1;
+        self.counts.permit_requests += 1;
+        self.handled[owner] += 1;
         let name = self.hosts[owner].entry.name.clone();
         if self.reaches(host, owner) {
             self.hosts[host].owners.note_heard(&name);
-            return self.deal_to_all(owner, ask);
+            return self.allocate_as_owner(owner, ask);
         }
         self.note_silent(host, owner);
-        self.deal_to_all(host, ask)
+        self.allocate_as_owner(host, ask)
     }
 
-    fn deal_to_all(&mut self, host: usize, ask: &PermitRequest) -> PermitGrant {
+    fn allocate_as_owner(&mut self, host: usize, ask: &PermitRequest) -> PermitGrant {
         let now = millis(self.now);
         let host = &mut self.hosts[host];
         let grant = host.allocator.deal(ask, now);
@@ -465,14 +475,14 @@
         grant
     }
 
-    fn others_left(&self, host: usize) -> usize {
+    fn peers_not_gone(&self, host: usize) -> usize {
         (self.hosts.len() - 1).saturating_sub(self.hosts[host].owners.gone())
     }
 
-    // Nobody listens at a killed host's address; behind a cut nothing is heard.
+    // A killed host refuses the connection; across a partition, requests time out.
     fn note_silent(&mut self, host: usize, owner: usize) {
         let other = &self.hosts[owner];
-        let is_gone = !other.is_up && other.side == self.hosts[host].side;
+        let is_gone = !other.is_up && other.partition == self.hosts[host].partition;
         let name = other.entry.name.clone();
         let now = millis(self.now);
         self.hosts[host].owners.note_silent(&name, is_gone, now);
@@ -481,38 +491,41 @@
     fn send(&mut self, host: usize, server: usize) {
         let now = self.now;
         self.counts.sent += 1;
-        let told = self.hosts[host].told.get(&server).copied();
+        let first_response = self.hosts[host].first_response.get(&server).copied();
         let at = &mut self.servers[server];
         at.arrived += 1;
-        let counts = at.first_named.is_some_and(|first| now >= first + CONTACT);
-        if counts && told.is_some_and(|told| now >= told + TOLD) {
+        let counts = at
+            .first_limited
+            .is_some_and(|first| now >= first + SERVER_GRACE);
+        if counts && first_response.is_some_and(|first| now >= first + HOST_GRACE) {
             at.counted.push(now);
         }
-        let answers = self.answers.entry(now + ANSWER_TIME).or_default();
-        answers.push((host, server, now));
+        let responses = self.responses.entry(now + RESPONSE_TIME).or_default();
+        responses.push((host, server, now));
     }
 
-    /// The most that any server got in a window beyond what it takes, as a part of what it allows: over 1 breaks the bound.
-    pub fn worst(&self, limit: f64) -> f64 {
+    /// The highest number of requests that any server got in a window, relative to the number allowed. A value above 1
+    /// violates the limit.
+    pub fn worst_ratio(&self, limit: f64) -> f64 {
         let allowed = 1.5 * limit * WINDOW as f64 / 1_000.0 + 5.0;
         let servers = self.servers.iter();
         let most = servers.map(|server| most_in_window(&server.counted));
         most.max().unwrap_or_default() as f64 / allowed
     }
 
-    /// Forgets what was counted.
+    /// Resets all counts.
     pub fn forget_counts(&mut self) {
         self.counts = SimCounts::default();
-        self.answered.fill(0);
+        self.handled.fill(0);
         for server in &mut self.servers {
             server.counted.clear();
             server.arrived = 0;
         }
     }
 
-    /// Questions that the busiest host answered.
-    pub fn most_answered(&self) -> u64 {
-        self.answered.iter().copied().max().unwrap_or_default()
+    /// The number of permit requests handled by the busiest host.
+    pub fn most_handled(&self) -> u64 {
+        self.handled.iter().copied().max().unwrap_or_default()
     }
 }
 
--- a/tests/relay_limited_choices.rs
+++ b/tests/relay_limited_choices.rs
@@ -1,4 +1,4 @@
-//! Which server a request goes to where some are rate-limited: beside failures, leaving, and engines.
+//! Server selection when some servers are rate-limited, combined with failing servers, leaving servers and engines.
 
 mod backends;
 
@@ -20,8 +20,8 @@
     LimitSaying::told(ServerLimit::new(2.0), Duration::ZERO, NOW)
 }
 
-// It is rate-limited, and no permit is left for so long.
-fn empty(book: &mut BackendBook, server: &BackendInfo, wait: u64) {
+// Marks a server as rate-limited, with no permit available for `wait` milliseconds.
+fn deny_permits(book: &mut BackendBook, server: &BackendInfo, wait: u64) {
     book.limits.take(server.key(), saying(), NOW);
     let grant = PermitGrant {
         permits: 0,
@@ -42,27 +42,27 @@
 }
 
 #[test]
-fn a_server_without_a_turn_gives_way_and_one_with_a_turn_comes_after_those_in_no_need() {
+fn unlimited_servers_are_preferred_to_rate_limited_ones_and_servers_without_permits_are_skipped() {
     let servers = [
         backend("a", "z", None),
         backend("b", "z", None),
         backend("c", "z", None),
     ];
     let mut book = book_of(&servers);
-    empty(&mut book, &servers[0], 300);
+    deny_permits(&mut book, &servers[0], 300);
     book.limits.take(servers[1].key(), saying(), NOW);
     assert_eq!(choose(&book), PlainChoice::Send(servers[2].clone()));
-    // The rate-limited one is next.
+    // The rate-limited server whose permits were not denied is next.
     let tried = [servers[2].id.clone()];
     let next = book.choose_plain("one", "z", &tried, SendWish::default(), NOW);
     assert_eq!(next, PlainChoice::Send(servers[1].clone()));
 }
 
 #[test]
-fn the_only_one_left_without_a_turn_is_waited_for_by_nobody() {
+fn the_wait_is_returned_when_the_only_remaining_server_has_no_permit() {
     let servers = [backend("a", "z", None), backend("b", "z", None)];
     let mut book = book_of(&servers);
-    empty(&mut book, &servers[0], 700);
+    deny_permits(&mut book, &servers[0], 700);
     book.set_leaving("b");
     let PlainChoice::NoPermit(wait) = choose(&book) else {
         panic!("{:?}", choose(&book));
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_rate_limited_server_that_leaves_gets_nothing() {
+fn a_rate_limited_server_that_is_leaving_gets_no_requests() {
     let servers = [backend("a", "z", None)];
     let mut book = book_of(&servers);
     book.limits.take(servers[0].key(), saying(), NOW);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_rate_limited_server_that_fails_is_passed_over_all_the_same() {
+fn a_rate_limited_server_that_fails_is_skipped() {
     let servers = [backend("a", "z", None), backend("b", "z", None)];
     let mut book = book_of(&servers);
     book.limits.take(servers[0].key(), saying(), NOW);
@@ -92,34 +92,36 @@
 }
 
 #[test]
-fn a_run_that_begins_anew_under_its_name_has_no_limit() {
+fn a_restarted_server_has_no_limit() {
     let server = BackendInfo {
         born: 5,
         ..backend("a", "z", None)
     };
     let mut book = book_of(std::slice::from_ref(&server));
-    empty(&mut book, &server, 300);
+    deny_permits(&mut book, &server, 300);
     let next = BackendInfo { born: 6, ..server };
     book.set_backends(vec![next.clone()]);
     assert_eq!(choose(&book), PlainChoice::Send(next));
 }
 
 #[test]
-fn streams_are_refused_for_want_of_turns_only_where_no_decode_engine_can_take_them() {
+fn streams_wait_for_permits_only_if_no_decode_engine_is_available() {
     let decodes = ["a", "b"].map(|id| backend(id, "z", Some(EngineRole::Decode)));
     let prefill = backend("p", "z", Some(EngineRole::Prefill));
     let mut book = book_of(&[decodes[0].clone(), decodes[1].clone(), prefill.clone()]);
-    empty(&mut book, &decodes[0], 300);
+    deny_permits(&mut book, &decodes[0], 300);
     assert_eq!(book.decode_wait("one", 0, NOW), None);
-    empty(&mut book, &decodes[1], 200);
-    let wait = book.decode_wait("one", 0, NOW).expect("none has a permit");
+    deny_permits(&mut book, &decodes[1], 200);
+    let wait = book
+        .decode_wait("one", 0, NOW)
+        .expect("no decode engine has a permit");
     assert_eq!(
         (wait.server, wait.time),
         (decodes[1].key(), Duration::from_millis(200))
     );
     assert_eq!(book.without_permit("one", 0, NOW).len(), 2);
-    // A prefill engine without a permit is none that a stream could not do without.
-    empty(&mut book, &prefill, 100);
+    // A prefill engine without a permit is not selected, but streams can do without one.
+    deny_permits(&mut book, &prefill, 100);
     let best = book.best_prefill("one", "z", &book.without_permit("one", 0, NOW), NOW);
     assert!(best.is_none());
 }
--- a/tests/relay_server_limits.rs
+++ b/tests/relay_server_limits.rs
@@ -1,4 +1,4 @@
-//! Limits that backend servers name: what is read as one, and what is believed.
+//! Rate limits of backend servers: parsing, tracking by hosts, and allocation of permits.
 
 use {
     bayplank::relay::{
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn decimal_numbers_are_limits() {
+fn decimal_numbers_are_parsed_as_limits() {
     for (text, limit) in [
         ("3", 3.0),
         ("1.9", 1.9),
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn what_is_no_number_of_requests_is_as_if_not_said() {
+fn invalid_limits_are_unreadable() {
     let long = "9".repeat(1_000);
     for text in [
         "", " ", "-1", "-0", "nan", "inf", "1e9", "3/s", "1,9", "1.2.3", ".", &long, "\u{663}",
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn an_older_answer_that_is_read_late_does_not_undo_a_newer_one() {
+fn a_late_response_does_not_override_a_newer_one() {
     let mut book = LimitBook::default();
     assert_eq!(book.take(SERVER, saying(Some(3.0), 20), NOW), Some(None));
     assert_eq!(book.take(SERVER, saying(None, 10), NOW), None);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_limit_that_nobody_hears_renewed_ends_after_a_minute() {
+fn a_limit_that_is_not_confirmed_expires_after_a_minute() {
     let mut book = LimitBook::default();
     book.take(SERVER, saying(Some(3.0), 20), NOW);
     assert!(book.forget_old(Duration::from_secs(59)).is_empty());
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_limit_that_changes_with_each_answer_is_shown_once_a_second() {
+fn a_limit_that_changes_with_each_response_is_reported_once_a_second() {
     let mut book = LimitBook::default();
     let mut shown = 0;
     for at in (0..5_000).step_by(10) {
@@ -99,8 +99,8 @@
     }
 }
 
-// Permits that an allocator hands out in a time to one that asks every so often.
-fn dealt(
+// The number of permits granted between two times to a host that sends a request every `step` milliseconds.
+fn granted(
     allocator: &mut PermitAllocator,
     ask: PermitRequest,
     from: u64,
@@ -113,10 +113,10 @@
 }
 
 #[test]
-fn a_desk_deals_out_what_the_server_takes() {
+fn an_allocator_grants_as_many_permits_as_the_server_accepts() {
     for limit in [0.8_f64, 1.9, 3.0, 20.0, 400.0] {
         let mut allocator = PermitAllocator::default();
-        let permits = dealt(&mut allocator, ask(limit, 1, 16, 0), 0, 10_000, 1);
+        let permits = granted(&mut allocator, ask(limit, 1, 16, 0), 0, 10_000, 1);
         let share = f64::from(permits) / (limit * 10.0);
         assert!(
             (0.85..=1.15).contains(&share),
@@ -126,10 +126,10 @@
 }
 
 #[test]
-fn a_server_that_takes_next_to_nothing_is_neither_forgotten_nor_hammered() {
+fn a_server_with_a_tiny_limit_still_gets_a_bounded_number_of_requests() {
     for limit in [0.0, 0.01, 0.2] {
         let mut allocator = PermitAllocator::default();
-        let permits = dealt(&mut allocator, ask(limit, 1, 16, 0), 0, 40_000, 10);
+        let permits = granted(&mut allocator, ask(limit, 1, 16, 0), 0, 40_000, 10);
         assert!(
             (20..=25).contains(&permits),
             "{permits} permits in 40 s of {limit} a second"
@@ -138,26 +138,26 @@
 }
 
 #[test]
-fn more_urgent_requests_get_the_turns_first() {
+fn more_urgent_requests_get_permits_first() {
     let mut allocator = PermitAllocator::default();
     let (mut urgent, mut other) = (0, 0);
     for at in (0..20_000).step_by(20) {
         let now = Duration::from_millis(at);
-        // Many that are less urgent come between any two that are urgent; these are four fifths of what the server takes.
+        // Many less urgent requests arrive between two urgent ones. The urgent ones use about four fifths of the limit.
         if at % 400 == 0 {
             urgent += allocator.deal(&ask(3.0, 1, 1, 0), now).permits;
         }
         other += allocator.deal(&ask(3.0, 1, 1, 2), now).permits;
     }
-    assert!(urgent >= 45, "{urgent} of 50 urgent requests had a permit");
+    assert!(urgent >= 45, "{urgent} of 50 urgent requests got a permit");
     assert!(
         urgent + other >= 51,
-        "{other} less urgent ones had what was left"
+        "{other} less urgent requests got a permit"
     );
 }
 
 #[test]
-fn those_who_get_no_turn_are_told_times_apart() {
+fn denied_requests_get_different_retry_times() {
     let mut allocator = PermitAllocator::default();
     let waits: Vec<Duration> = (0..6)
         .map(|_| allocator.deal(&ask(2.0, 1, 1, 0), NOW).wait)
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn callers_of_one_host_are_sent_into_turns_of_their_own() {
+fn rejected_callers_of_a_host_get_different_retry_times() {
     let mut book = LimitBook::default();
     book.take(SERVER, saying(Some(2.0), 1), NOW);
     let wait = Duration::from_millis(300);
@@ -188,24 +188,27 @@
     assert_eq!(
         book.permit(SERVER, 0, NOW),
         PermitState::Ask,
-        "a more urgent one may have it"
+        "a more urgent request may get a permit"
     );
 }
 
 #[test]
-fn a_turn_that_was_not_used_goes_to_the_next_request_and_then_lapses() {
+fn a_returned_permit_is_used_by_the_next_request_or_expires() {
     let mut book = LimitBook::default();
     book.take(SERVER, saying(Some(2.0), 1), NOW);
     book.give_back(SERVER, NOW);
     assert_eq!(book.permit(SERVER, 3, NOW), PermitState::Held);
     assert!(book.use_permit(SERVER, NOW));
-    assert!(!book.use_permit(SERVER, NOW), "it is used once");
+    assert!(
+        !book.use_permit(SERVER, NOW),
+        "the permit can be used only once"
+    );
     book.give_back(SERVER, NOW);
     assert!(!book.use_permit(SERVER, NOW + Duration::from_millis(300)));
 }
 
 #[test]
-fn a_keeper_hears_the_end_of_a_need_and_tells_it_on() {
+fn an_owner_passes_on_that_a_limit_ended() {
     let mut allocator = PermitAllocator::default();
     allocator.deal(&ask(0.0, 5, 1, 0), NOW);
     let end = PermitRequest {
@@ -218,67 +221,67 @@
     assert_eq!(
         (grant.permits, grant.saying.limit),
         (4, None),
-        "an older saying does not undo it"
+        "an older report does not override the end of the limit"
     );
 }
 
 #[test]
-fn what_was_dealt_out_at_a_higher_limit_is_not_made_up_for_at_a_lower_one() {
+fn permits_granted_at_a_higher_limit_are_not_deducted_at_a_lower_one() {
     let mut allocator = PermitAllocator::default();
-    dealt(&mut allocator, ask(1_000.0, 1, 16, 0), 0, 5_000, 1);
-    let permits = dealt(&mut allocator, ask(2.0, 6_000, 16, 0), 5_000, 15_000, 10);
+    granted(&mut allocator, ask(1_000.0, 1, 16, 0), 0, 5_000, 1);
+    let permits = granted(&mut allocator, ask(2.0, 6_000, 16, 0), 5_000, 15_000, 10);
     assert!((16..=22).contains(&permits), "{permits} permits in 10 s");
 }
 
 #[test]
-fn only_the_beginning_and_the_end_of_a_need_are_told() {
-    let mut news = LimitUpdates::new(3);
+fn only_the_start_and_the_end_of_a_limit_are_sent() {
+    let mut updates = LimitUpdates::new(3);
     let source = MarkSource::Reported;
-    assert!(news.note(SERVER, saying(Some(3.0), 10), source, NOW));
+    assert!(updates.note(SERVER, saying(Some(3.0), 10), source, NOW));
     assert!(
-        !news.note(SERVER, saying(Some(4.0), 20), source, NOW),
-        "a number"
+        !updates.note(SERVER, saying(Some(4.0), 20), source, NOW),
+        "a change from one limit to another"
     );
     assert!(
-        !news.note(SERVER, saying(None, 15), source, NOW),
-        "said earlier"
+        !updates.note(SERVER, saying(None, 15), source, NOW),
+        "an older report"
     );
-    let told = news.since(CachePosition::default(), NOW);
+    let told = updates.since(CachePosition::default(), NOW);
     assert_eq!(told.marks[0].limit, ServerLimit::new(4.0));
-    assert!(news.since(told.place, NOW).marks.is_empty());
-    assert!(news.note(SERVER, saying(None, 30), source, NOW));
-    assert_eq!(news.since(told.place, NOW).marks[0].limit, None);
+    assert!(updates.since(told.place, NOW).marks.is_empty());
+    assert!(updates.note(SERVER, saying(None, 30), source, NOW));
+    assert_eq!(updates.since(told.place, NOW).marks[0].limit, None);
 }
 
-/// A moment in a fleet of five hosts, one of which allocates the permits.
+/// A random event in a fleet of five hosts with one permit allocator.
 #[derive(Debug, Clone, bolero::TypeGenerator)]
-struct FleetMoment {
-    // Time since the last one: milliseconds, or now and then long enough for permits to gather.
+struct FleetEvent {
+    // Time since the previous event in milliseconds; the highest values stand for 20 s, in which permits accumulate.
     gap: u8,
     host: u8,
     wanted: u8,
     is_urgent: bool,
-    // How long the answer to a question takes, milliseconds, or that it is lost.
+    // How long the response to a permit request takes in milliseconds, and whether it is lost.
     delay: u8,
     is_lost: bool,
-    // A permit is taken and no request is sent for it.
-    is_given_back: bool,
-    // The host is told, once more, something that was said before the need began.
-    is_told: bool,
+    // Whether the permit is returned without sending a request.
+    is_returned: bool,
+    // Whether the host receives a report that is older than the limit.
+    gets_old_report: bool,
 }
 
 const FLEET_HOSTS: usize = 5;
 
-struct BookFleet {
+struct SimFleet {
     now: u64,
     allocator: PermitAllocator,
     books: Vec<LimitBook>,
-    answers: Vec<(u64, usize, u8, PermitGrant)>,
-    // Permits that were used and not given back: when.
+    responses: Vec<(u64, usize, u8, PermitGrant)>,
+    // The times at which permits were used and not returned.
     sent: Vec<u64>,
 }
 
-impl BookFleet {
+impl SimFleet {
     fn new(limit: f64) -> Self {
         let mut books: Vec<LimitBook> = (0..FLEET_HOSTS)
             .map(|host| LimitBook::new(&format!("host-{host}")))
@@ -290,59 +293,61 @@
             now: 1,
             allocator: PermitAllocator::default(),
             books,
-            answers: Vec::new(),
+            responses: Vec::new(),
             sent: Vec::new(),
         }
     }
 
-    fn happen(&mut self, moment: &FleetMoment) {
-        self.pass(match moment.gap {
+    fn apply(&mut self, event: &FleetEvent) {
+        self.advance(match event.gap {
             250.. => 20_000,
             gap => u64::from(gap % 64),
         });
         let now = Duration::from_millis(self.now);
-        let host = usize::from(moment.host) % FLEET_HOSTS;
-        let rank = u8::from(!moment.is_urgent);
-        if moment.is_told {
-            let age = Duration::from_millis(self.now + 1 + u64::from(moment.delay));
+        let host = usize::from(event.host) % FLEET_HOSTS;
+        let rank = u8::from(!event.is_urgent);
+        if event.gets_old_report {
+            let age = Duration::from_millis(self.now + 1 + u64::from(event.delay));
             let told = LimitSaying::told(None, age, now);
             self.books[host].take(SERVER, told, now);
         }
         if self.books[host].permit(SERVER, rank, now) == PermitState::Ask {
-            self.ask(host, rank, moment);
+            self.ask(host, rank, event);
         }
         let book = &mut self.books[host];
         if !book.use_permit(SERVER, now) {
             return;
         }
-        match moment.is_given_back {
+        match event.is_returned {
             true => book.give_back(SERVER, now),
             false => self.sent.push(self.now),
         }
     }
 
-    fn ask(&mut self, host: usize, rank: u8, moment: &FleetMoment) {
+    fn ask(&mut self, host: usize, rank: u8, event: &FleetEvent) {
         let now = Duration::from_millis(self.now);
         let ask = self.books[host]
             .ask(SERVER, rank, now)
             .expect("rate-limited");
         let ask = PermitRequest {
-            wanted: ask.wanted.max(u32::from(moment.wanted % 16)),
+            wanted: ask.wanted.max(u32::from(event.wanted % 16)),
             ..ask
         };
         let grant = self.allocator.deal(&ask, now);
-        if !moment.is_lost {
-            let at = self.now + u64::from(moment.delay % 80);
-            self.answers.push((at, host, rank, grant));
+        if !event.is_lost {
+            let at = self.now + u64::from(event.delay % 80);
+            self.responses.push((at, host, rank, grant));
         }
     }
 
-    fn pass(&mut self, time: u64) {
+    fn advance(&mut self, time: u64) {
         self.now += time;
         let now = Duration::from_millis(self.now);
         let due = |answer: &(u64, usize, u8, PermitGrant)| answer.0 <= self.now;
-        let (due, later) = std::mem::take(&mut self.answers).into_iter().partition(due);
-        self.answers = later;
+        let (due, later) = std::mem::take(&mut self.responses)
+            .into_iter()
+            .partition(due);
+        self.responses = later;
         for (_, host, rank, grant) in due {
             self.books[host].take(SERVER, grant.saying, now);
             self.books[host].take_grant(SERVER, rank, &grant, now);
@@ -359,18 +364,21 @@
 }
 
 #[test]
-fn hosts_together_never_use_more_turns_than_the_server_allows() {
+fn hosts_together_never_use_more_permits_than_the_server_allows() {
     check!()
-        .with_type::<(u8, Vec<FleetMoment>)>()
-        .for_each(|(limit, moments)| {
+        .with_type::<(u8, Vec<FleetEvent>)>()
+        .for_each(|(limit, events)| {
             let limit = [0.0, 0.3, 1.9, 7.0, 40.0][usize::from(*limit) % 5];
-            let mut fleet = BookFleet::new(limit);
-            // The same again and again: callers come all the time.
-            for moment in moments.iter().cycle().take(1_500) {
-                fleet.happen(moment);
+            let mut fleet = SimFleet::new(limit);
+            // Repeats the events, since requests keep arriving.
+            for event in events.iter().cycle().take(1_500) {
+                fleet.apply(event);
             }
             let allowed = (1.5 * limit * 4.0 + 5.0) as usize;
             let most = fleet.most_in_window();
-            assert!(most <= allowed, "{most} of {allowed} at {limit} a second");
+            assert!(
+                most <= allowed,
+                "{most} requests where {allowed} are allowed, at {limit} a second"
+            );
         });
 }
--- a/tests/server_availability.rs
+++ b/tests/server_availability.rs
@@ -1,4 +1,4 @@
-//! Servers that are leaving or asked for a backoff, by their answers: what is read, what is believed, who is chosen.
+//! Servers that state in responses that they are leaving or want a backoff: parsing, tracking and server selection.
 
 mod backends;
 
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn only_a_one_says_that_a_server_is_leaving() {
+fn only_the_value_1_states_that_a_server_is_leaving() {
     for (values, mark) in [
         (&[][..], LeavingMark::Unsaid),
         (&["0"], LeavingMark::Unsaid),
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn what_is_no_number_of_seconds_asks_for_no_backoff() {
+fn invalid_backoffs_are_unreadable() {
     let long = "9".repeat(1_000);
     for text in [
         "",
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_server_is_not_lost_for_good_by_one_huge_backoff() {
+fn a_huge_backoff_is_limited() {
     let mark = read_backoff(&["1000000000"]);
     assert_eq!(mark, BackoffMark::Lasting(MAX_BACKOFF));
     let mut book = BackendBook::default();
@@ -94,7 +94,7 @@
     }
 }
 
-fn lasting(time: u64) -> Option<BackoffMark> {
+fn backoff_of(time: u64) -> Option<BackoffMark> {
     Some(BackoffMark::Lasting(millis(time)))
 }
 
@@ -103,15 +103,15 @@
 }
 
 #[test]
-fn of_several_backoffs_the_last_to_end_holds() {
+fn the_latest_end_of_overlapping_backoffs_applies() {
     let mut book = BackendBook::default();
     let server = backend("a", "z", None);
     book.set_backends(vec![server.clone()]);
     let run = server.run();
     book.availability
-        .note(&run, &marks(false, lasting(3_000)), millis(0));
+        .note(&run, &marks(false, backoff_of(3_000)), millis(0));
     book.availability
-        .note(&run, &marks(false, lasting(500)), millis(100));
+        .note(&run, &marks(false, backoff_of(500)), millis(100));
     let wait = book.rotation_wait("one", None, millis(600));
     assert_eq!(wait, Some(RotationWait::Until(millis(2_400))));
     assert_eq!(book.rotation_wait("one", None, millis(3_000)), None);
@@ -122,29 +122,29 @@
     let mut book = BackendBook::default();
     let server = backend("a", "z", None);
     book.set_backends(vec![server.clone()]);
-    for moment in 0..20 {
-        let mark = marks(false, lasting(100));
+    for index in 0..20 {
+        let mark = marks(false, backoff_of(100));
         book.availability
-            .note(&server.run(), &mark, millis(moment * 10));
+            .note(&server.run(), &mark, millis(index * 10));
     }
     assert!(!book.view("a").unwrap().is_out(millis(200)));
     assert_eq!(choose(&book, millis(290)), PlainChoice::Send(server));
 }
 
 #[test]
-fn work_comes_back_step_by_step_after_a_backoff() {
+fn load_ramps_up_after_a_backoff() {
     let mut book = BackendBook::default();
     let [back, other] = ["a", "b"].map(|id| backend(id, "z", None));
     book.set_backends(vec![back.clone(), other.clone()]);
     book.availability
-        .note(&back.run(), &marks(false, lasting(1_000)), millis(0));
+        .note(&back.run(), &marks(false, backoff_of(1_000)), millis(0));
     book.call_began("b", false, millis(1_000));
     assert_eq!(choose(&book, millis(1_001)), PlainChoice::Send(other));
     assert_eq!(choose(&book, millis(1_990)), PlainChoice::Send(back));
 }
 
 #[test]
-fn a_send_whose_memory_was_reserved_before_the_word_goes_out_for_a_moment() {
+fn a_request_with_reserved_memory_may_be_sent_shortly_after_the_server_started_leaving() {
     let mut book = BackendBook::default();
     let server = backend("a", "z", Some(EngineRole::Decode));
     book.set_backends(vec![server.clone()]);
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn a_later_run_of_a_leaving_server_starts_clean() {
+fn a_restarted_server_is_no_longer_leaving() {
     let mut book = BackendBook::default();
     let before = BackendInfo {
         born: 5,
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn an_entry_that_lapses_and_comes_back_is_the_same_leaving_run() {
+fn a_run_that_is_unlisted_and_listed_again_is_still_leaving() {
     let mut book = BackendBook::default();
     let server = BackendInfo {
         born: 5,
@@ -190,50 +190,50 @@
 }
 
 #[test]
-fn what_is_known_of_gone_servers_is_evicted() {
+fn entries_of_unlisted_servers_are_evicted() {
     let mut book = BackendBook::default();
     for number in 0..1_000 {
         let server = backend(&format!("s-{number}"), "z", None);
         book.availability
-            .note(&server.run(), &marks(true, lasting(50)), millis(0));
+            .note(&server.run(), &marks(true, backoff_of(50)), millis(0));
     }
     book.evict_availability(Duration::from_secs(3_600));
     assert!(book.availability.is_empty());
 }
 
 #[test]
-fn a_rate_limited_server_that_backs_off_or_leaves_is_asked_for_no_permit() {
-    for said in [marks(true, None), marks(false, lasting(500))] {
+fn no_permit_is_requested_for_a_leaving_or_backing_off_server() {
+    for signals in [marks(true, None), marks(false, backoff_of(500))] {
         let mut book = BackendBook::default();
         let server = backend("a", "z", None);
         book.set_backends(vec![server.clone()]);
         let limit = LimitSaying::told(ServerLimit::new(3.0), millis(0), millis(0));
         book.limits.take(server.key(), limit, millis(0));
-        book.availability.note(&server.run(), &said, millis(0));
+        book.availability.note(&server.run(), &signals, millis(0));
         assert_eq!(choose(&book, millis(1)), PlainChoice::NoneLeft);
         assert!(book.without_permit("one", 0, millis(1)).is_empty());
     }
 }
 
-/// Something that happens to a book of five servers.
+/// A random event for a book of five servers.
 #[derive(Debug, Clone, TypeGenerator)]
-enum BookMoment {
-    Pass(u16),
-    Says {
+enum BookEvent {
+    Advance(u16),
+    Signals {
         server: u8,
         is_leaving: bool,
         backoff: Option<u16>,
     },
-    // By bits: which are listed, which of them as leaving.
+    // Bit masks of the listed servers, and of those that are listed as leaving.
     Listed(u8, u8),
-    StartsAnew(u8),
+    Restarts(u8),
     Fails(u8),
     Answers(u8),
-    TurnsAway(u8),
+    Rejects(u8),
     Declines(u8),
     Evicts,
-    // Memory is reserved at the best decode engine; after a time the engine says something, and after another one the
-    // decode is to be sent.
+    // Memory is reserved at the best decode engine. After `before` milliseconds the engine states something, and after
+    // another `after` milliseconds the decode request is to be sent.
     Decodes {
         before: u8,
         is_leaving: bool,
@@ -244,21 +244,21 @@
 
 const SERVERS: usize = 5;
 
-/// What is true of one run.
+/// The expected state of one run.
 #[derive(Debug, Clone, Copy, Default)]
-struct TrueWord {
+struct ExpectedState {
     leaving_since: Option<u64>,
-    // Since when, until when.
+    // Start and end.
     backoff: Option<(u64, u64)>,
 }
 
-/// A book, and what it should hold.
+/// A book, and the model that it is compared with.
 struct CheckedBook {
     book: BackendBook,
     now: u64,
     born: [u64; SERVERS],
     listed: (u8, u8),
-    words: BTreeMap<(usize, u64), TrueWord>,
+    expected: BTreeMap<(usize, u64), ExpectedState>,
 }
 
 impl CheckedBook {
@@ -268,13 +268,13 @@
             now: 1,
             born: [1; SERVERS],
             listed: (31, 0),
-            words: BTreeMap::new(),
+            expected: BTreeMap::new(),
         };
         checked.list();
         checked
     }
 
-    // Three plain servers, then a prefill and a decode engine: all of one service.
+    // Three plain servers, a prefill engine and a decode engine, all of the same service.
     fn info(&self, index: usize) -> BackendInfo {
         let role = [
             None,
@@ -296,53 +296,53 @@
         self.book.set_backends(infos);
     }
 
-    fn word(&self, index: usize) -> TrueWord {
-        let word = self.words.get(&(index, self.born[index]));
-        word.copied().unwrap_or_default()
+    fn state(&self, index: usize) -> ExpectedState {
+        let state = self.expected.get(&(index, self.born[index]));
+        state.copied().unwrap_or_default()
     }
 
-    fn is_out(&self, index: usize) -> bool {
-        let word = self.word(index);
-        let backs_off = word.backoff.is_some_and(|(_, until)| self.now < until);
-        word.leaving_since.is_some() || backs_off
+    fn is_unavailable(&self, index: usize) -> bool {
+        let state = self.state(index);
+        let backs_off = state.backoff.is_some_and(|(_, until)| self.now < until);
+        state.leaving_since.is_some() || backs_off
     }
 
-    fn happen(&mut self, moment: &BookMoment) {
+    fn apply(&mut self, event: &BookEvent) {
         let now = millis(self.now);
         let index = |server: &u8| usize::from(*server) % SERVERS;
-        match moment {
-            BookMoment::Pass(time) => self.now += u64::from(*time % 2_000),
-            BookMoment::Says {
+        match event {
+            BookEvent::Advance(time) => self.now += u64::from(*time % 2_000),
+            BookEvent::Signals {
                 server,
                 is_leaving,
                 backoff,
-            } => self.say(index(server), *is_leaving, *backoff),
-            BookMoment::Listed(listed, leaving) => {
+            } => self.signal(index(server), *is_leaving, *backoff),
+            BookEvent::Listed(listed, leaving) => {
                 self.listed = (*listed, *leaving);
                 self.list();
             }
-            BookMoment::StartsAnew(server) => {
+            BookEvent::Restarts(server) => {
                 self.born[index(server)] += 1;
                 self.list();
             }
-            BookMoment::Fails(server) => {
+            BookEvent::Fails(server) => {
                 let id = self.info(index(server)).id;
                 self.book.failed(&id, BackendFailure::Silent, now);
             }
-            BookMoment::Answers(server) => {
+            BookEvent::Answers(server) => {
                 let id = self.info(index(server)).id;
                 self.book.answered(&id, true);
             }
-            BookMoment::TurnsAway(server) => {
+            BookEvent::Rejects(server) => {
                 let id = self.info(index(server)).id;
                 self.book.turned_away(&id, now);
             }
-            BookMoment::Declines(server) => {
+            BookEvent::Declines(server) => {
                 let id = self.info(index(server)).id;
                 self.book.declined(&id, now);
             }
-            BookMoment::Evicts => drop(self.book.evict_availability(now)),
-            BookMoment::Decodes {
+            BookEvent::Evicts => drop(self.book.evict_availability(now)),
+            BookEvent::Decodes {
                 before,
                 is_leaving,
                 backoff,
@@ -356,25 +356,27 @@
         self.check();
     }
 
-    fn say(&mut self, index: usize, is_leaving: bool, backoff: Option<u16>) {
+    fn signal(&mut self, index: usize, is_leaving: bool, backoff: Option<u16>) {
         let run = self.info(index).run();
         let time = backoff.map(u64::from);
-        let said = marks(is_leaving, time.and_then(lasting));
-        self.book.availability.note(&run, &said, millis(self.now));
+        let signals = marks(is_leaving, time.and_then(backoff_of));
+        self.book
+            .availability
+            .note(&run, &signals, millis(self.now));
         let now = self.now;
-        let word = self.words.entry((index, self.born[index])).or_default();
+        let state = self.expected.entry((index, self.born[index])).or_default();
         if is_leaving {
-            word.leaving_since.get_or_insert(now);
+            state.leaving_since.get_or_insert(now);
         }
         if let Some(time) = time.filter(|time| *time > 0) {
-            word.backoff = match word.backoff {
+            state.backoff = match state.backoff {
                 Some((since, until)) if now < until => Some((since, until.max(now + time))),
                 _ => Some((now, now + time)),
             };
         }
     }
 
-    fn decode(&mut self, before: u64, said: (bool, Option<u16>), after: u64) {
+    fn decode(&mut self, before: u64, signals: (bool, Option<u16>), after: u64) {
         let engines = self
             .book
             .rank_decodes("one", "z", 100, None, millis(self.now));
@@ -384,29 +386,32 @@
         let reserved = self.now;
         let index = SERVERS - 1;
         self.now += before;
-        self.say(index, said.0, said.1);
+        self.signal(index, signals.0, signals.1);
         self.now += after;
-        let goes_out = self
+        let may_send = self
             .book
             .may_send(&engine, Some(millis(reserved)), millis(self.now));
-        let word = self.word(index);
-        let leaving_for = word.leaving_since.map(|since| self.now - since);
-        let backing_off = word.backoff.filter(|(_, until)| self.now < *until);
+        let state = self.state(index);
+        let leaving_for = state.leaving_since.map(|since| self.now - since);
+        let backing_off = state.backoff.filter(|(_, until)| self.now < *until);
         let backing_off_for = backing_off.map(|(since, _)| self.now - since);
         let is_allowed = leaving_for.is_none_or(|time| time < 2_000)
             && backing_off_for.is_none_or(|time| time < 500);
-        assert!(!goes_out || is_allowed, "a send that users would count");
+        assert!(
+            !may_send || is_allowed,
+            "a request is sent later than users allow"
+        );
     }
 
     fn check(&self) {
         let now = millis(self.now);
         for index in 0..SERVERS {
             let may_send = self.book.may_send(&self.info(index), None, now);
-            assert_eq!(may_send, !self.is_out(index), "server {index}");
+            assert_eq!(may_send, !self.is_unavailable(index), "server {index}");
         }
-        let is_wrong = |info: &BackendInfo| {
+        let must_be_skipped = |info: &BackendInfo| {
             let index = (0..SERVERS).find(|index| self.info(*index).id == info.id);
-            info.leaving || self.is_out(index.expect("one of them"))
+            info.leaving || self.is_unavailable(index.expect("one of the five servers"))
         };
         let choices = [
             match choose(&self.book, now) {
@@ -419,23 +424,23 @@
         ];
         let decodes = self.book.rank_decodes("one", "z", 100, None, now);
         for chosen in choices.into_iter().flatten().chain(decodes) {
-            assert!(!is_wrong(&chosen), "{chosen:?} at {now:?}");
+            assert!(!must_be_skipped(&chosen), "{chosen:?} at {now:?}");
         }
         if let Some(RotationWait::Until(wait)) = self.book.rotation_wait("one", None, now) {
-            let ends = (0..SERVERS).filter_map(|index| self.word(index).backoff);
+            let ends = (0..SERVERS).filter_map(|index| self.state(index).backoff);
             let ends: Vec<u64> = ends.map(|(_, until)| until).collect();
             let at = self.now + wait.as_millis() as u64;
-            assert!(ends.contains(&at), "a wait for the end of a backoff");
+            assert!(ends.contains(&at), "the wait ends with a backoff");
         }
     }
 }
 
 #[test]
-fn no_choice_and_no_send_takes_a_server_that_leaves_or_backs_off_and_none_is_kept_out_longer() {
-    check!().with_type::<Vec<BookMoment>>().for_each(|moments| {
+fn servers_are_skipped_exactly_while_they_are_leaving_or_backing_off() {
+    check!().with_type::<Vec<BookEvent>>().for_each(|events| {
         let mut checked = CheckedBook::new();
-        for moment in moments.iter().take(200) {
-            checked.happen(moment);
+        for event in events.iter().take(200) {
+            checked.apply(event);
         }
     });
 }
