--- a/src/operation/crashes.rs
+++ b/src/operation/crashes.rs
@@ -6,7 +6,8 @@
         clock::HostClock,
         event,
         relay::{
-            CrashBook, CrashChange, CrashJudgement, CrashMark, EngineKey, MarkSource, RequestDigest,
+            CrashReport, CrashTracker, CrashVerdict, EngineKey, MarkSource, RequestDigest,
+            VerdictChange,
         },
         web::{self, ProbeOutcome},
     },
@@ -29,7 +30,7 @@
 /// Which requests end their servers, as far as this host saw and was told.
 #[derive(Debug)]
 pub struct SharedCrashes {
-    book: Mutex<CrashBook>,
+    book: Mutex<CrashTracker>,
     clock: HostClock,
 }
 
@@ -37,12 +38,12 @@
     /// Nothing is known yet.
     pub fn new(clock: HostClock) -> Self {
         Self {
-            book: Mutex::new(CrashBook::new(rand::random())),
+            book: Mutex::new(CrashTracker::new(rand::random())),
             clock,
         }
     }
 
-    fn book(&self) -> MutexGuard<'_, CrashBook> {
+    fn book(&self) -> MutexGuard<'_, CrashTracker> {
         self.book.lock().expect("crash book")
     }
 
@@ -52,17 +53,17 @@
     pub fn check(&self, digest: RequestDigest, verdict: RunVerdict) -> Result<(), Refusal> {
         let now = self.clock.now();
         let mut book = self.book();
-        let wait = match book.judge(digest, now) {
-            CrashJudgement::Harmless | CrashJudgement::Suspected(_) => return Ok(()),
-            CrashJudgement::TrialDue if verdict == RunVerdict::NotRun => {
+        let wait = match book.verdict(digest, now) {
+            CrashVerdict::Harmless | CrashVerdict::Suspected(_) => return Ok(()),
+            CrashVerdict::TrialDue if verdict == RunVerdict::NotRun => {
                 book.grant_trial(digest, now);
                 event::emit(&event::REQUEST_TRIED, &[("digest", &digest)]);
                 return Ok(());
             }
-            CrashJudgement::TrialDue => COME_BACK,
-            CrashJudgement::Fatal(wait) => wait,
+            CrashVerdict::TrialDue => COME_BACK,
+            CrashVerdict::Fatal(wait) => wait,
         };
-        book.note_seen(digest, now);
+        book.record_seen(digest, now);
         let text =
             format!("backend servers end under this request ({digest}), so it is sent to none");
         Err(Refusal::new(verdict, RefusalCode::EndsServers, text).after(wait))
@@ -81,28 +82,28 @@
             &[("backend", &server), ("digest", &digest)],
         );
         let now = self.clock.now();
-        let change = self.book().note_end(digest, EngineKey::of(server), now);
+        let change = self.book().record_crash(digest, EngineKey::of(server), now);
         log_change(digest, change);
     }
 
     /// A request came to its good end.
     pub fn note_good_run(&self, digest: RequestDigest) {
         let now = self.clock.now();
-        let change = self.book().note_good_run(digest, now);
+        let change = self.book().record_success(digest, now);
         log_change(digest, change);
     }
 
     /// What other hosts are told.
-    pub fn marks(&self) -> Vec<CrashMark> {
+    pub fn marks(&self) -> Vec<CrashReport> {
         self.book().latest(MARKS_TOLD, self.clock.now())
     }
 
     /// Takes what another host told.
-    pub fn take(&self, marks: &[CrashMark]) {
+    pub fn take(&self, marks: &[CrashReport]) {
         if marks.is_empty() {
             return;
         }
-        let changes = self.book().take(marks, MarkSource::Told, self.clock.now());
+        let changes = self.book().merge(marks, MarkSource::Told, self.clock.now());
         for (digest, change) in changes {
             log_change(digest, Some(change));
         }
@@ -114,10 +115,14 @@
     }
 }
 
-fn log_change(digest: RequestDigest, change: Option<CrashChange>) {
+fn log_change(digest: RequestDigest, change: Option<VerdictChange>) {
     match change {
-        Some(CrashChange::Judged) => event::emit(&event::REQUEST_JUDGED, &[("digest", &digest)]),
-        Some(CrashChange::Cleared) => event::emit(&event::REQUEST_CLEARED, &[("digest", &digest)]),
+        Some(VerdictChange::BecameFatal) => {
+            event::emit(&event::REQUEST_JUDGED, &[("digest", &digest)])
+        }
+        Some(VerdictChange::NoLongerFatal) => {
+            event::emit(&event::REQUEST_CLEARED, &[("digest", &digest)])
+        }
         None => {}
     }
 }
--- a/src/peer/membership.rs
+++ b/src/peer/membership.rs
@@ -5,7 +5,7 @@
 //! a host suspected, and nothing more: what follows from suspicion is for others to decide.
 
 use {
-    crate::relay::CrashMark,
+    crate::relay::CrashReport,
     faststr::FastStr,
     std::{collections::BTreeMap, net::SocketAddr, time::Duration},
 };
@@ -79,7 +79,7 @@
     /// Incarnations of its zone that are silent too long.
     pub silent: Vec<u64>,
     /// What it knows of requests that end their servers.
-    pub crashes: Vec<CrashMark>,
+    pub crashes: Vec<CrashReport>,
 }
 
 /// A change of who is live.
--- a/src/peer/wire.rs
+++ b/src/peer/wire.rs
@@ -2,7 +2,7 @@
 
 use {
     super::membership::{BeatFlags, HostBeat, HostCard, PeerDigest},
-    crate::{peer_capnp, relay::CrashMark},
+    crate::{peer_capnp, relay::CrashReport},
     capnp::{Error, Result, text},
     faststr::FastStr,
     std::net::SocketAddr,
@@ -96,7 +96,7 @@
     }
 }
 
-fn read_crashes(bytes: &[u8]) -> Result<Vec<CrashMark>> {
+fn read_crashes(bytes: &[u8]) -> Result<Vec<CrashReport>> {
     if bytes.is_empty() {
         return Ok(Vec::new());
     }
--- a/src/relay/link.rs
+++ b/src/relay/link.rs
@@ -1,7 +1,7 @@
 //! The store as a relaying host needs it: typed objects, read, watched and written under a condition.
 
 use {
-    super::{backend::BackendInfo, config::RelayConfig, policy::crash_mark::KeptJudgement},
+    super::{backend::BackendInfo, config::RelayConfig, policy::crash_mark::StoredVerdict},
     crate::{
         control::LeaseSpec,
         store::{EraTracker, StoreFailure, StorePosition},
@@ -39,7 +39,7 @@
     pub strength: u32,
     /// Requests that end their servers, of which this host was the first to know.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub judged: Vec<KeptJudgement>,
+    pub judged: Vec<StoredVerdict>,
 }
 
 /// What an object holds.
--- a/src/relay/news/crash_message.rs
+++ b/src/relay/news/crash_message.rs
@@ -5,7 +5,7 @@
     crate::{
         news_capnp::crash_mark,
         relay::policy::{
-            crash_mark::{CrashMark, EndMark},
+            crash_mark::{CrashEntry, CrashReport},
             digest::RequestDigest,
             loads::EngineKey,
         },
@@ -15,13 +15,13 @@
 };
 
 /// Writes marks.
-pub fn write_marks(mut to: struct_list::Builder<'_, crash_mark::Owned>, marks: &[CrashMark]) {
+pub fn write_marks(mut to: struct_list::Builder<'_, crash_mark::Owned>, marks: &[CrashReport]) {
     for (index, mark) in marks.iter().enumerate() {
         write_mark(to.reborrow().get(index as u32), mark);
     }
 }
 
-fn write_mark(mut to: crash_mark::Builder<'_>, mark: &CrashMark) {
+fn write_mark(mut to: crash_mark::Builder<'_>, mark: &CrashReport) {
     let (high, low) = halves(mark.digest);
     to.set_high(high);
     to.set_low(low);
@@ -40,17 +40,17 @@
 }
 
 /// Reads marks; what is not well formed is an error.
-pub fn read_marks(from: struct_list::Reader<'_, crash_mark::Owned>) -> Result<Vec<CrashMark>> {
+pub fn read_marks(from: struct_list::Reader<'_, crash_mark::Owned>) -> Result<Vec<CrashReport>> {
     from.iter().map(read_mark).collect()
 }
 
-fn read_mark(from: crash_mark::Reader<'_>) -> Result<CrashMark> {
-    let ends = from.get_ends()?.iter().map(|end| EndMark {
+fn read_mark(from: crash_mark::Reader<'_>) -> Result<CrashReport> {
+    let ends = from.get_ends()?.iter().map(|end| CrashEntry {
         run: EngineKey(end.get_run()),
         age: age(end.get_age_ms()),
         is_excused: end.get_is_excused(),
     });
-    Ok(CrashMark {
+    Ok(CrashReport {
         digest: whole(from.get_high(), from.get_low()),
         ends: ends.collect(),
         trials: from.get_trials_ms()?.iter().map(age).collect(),
--- a/src/relay/news/message.rs
+++ b/src/relay/news/message.rs
@@ -10,7 +10,7 @@
             config::RelayConfig,
             link::HostEntry,
             policy::{
-                crash_mark::CrashNews,
+                crash_mark::CrashUpdates,
                 findings_cache::{CachePosition, CacheUpdates},
                 limit_updates::LimitUpdate,
                 loads::{EngineKey, EngineLoad, LoadReport, ServiceDemand},
@@ -99,7 +99,7 @@
     /// then in place of everything else.
     pub guides: Vec<HostEntry>,
     /// What the asker lacks of the sender's book of requests that end their servers.
-    pub crashes: CrashNews,
+    pub crashes: CrashUpdates,
     /// The same of its book of rate-limited servers.
     pub limits: CacheUpdates<LimitUpdate>,
 }
@@ -245,7 +245,7 @@
     if !news.guides.is_empty() {
         to.set_guides(&to_json(&news.guides)?);
     }
-    let CrashNews { place, marks } = &news.crashes;
+    let CrashUpdates { place, marks } = &news.crashes;
     to.set_crash_book(place.book);
     to.set_crash_revision(place.revision);
     let list = to.reborrow().init_crashes(marks.len() as u32);
@@ -278,7 +278,7 @@
         guides,
         is_lost: from.get_is_lost(),
         held: Duration::from_millis(u64::from(from.get_held_ms())),
-        crashes: CrashNews {
+        crashes: CrashUpdates {
             place: CachePosition {
                 book: from.get_crash_book(),
                 revision: from.get_crash_revision(),
--- a/src/relay/parts/crashes.rs
+++ b/src/relay/parts/crashes.rs
@@ -8,9 +8,9 @@
             backend::BackendInfo,
             link::HostEntry,
             policy::{
-                crash_book::{CrashBook, CrashChange},
-                crash_mark::{CrashMark, CrashNews, KeptJudgement},
-                crash_record::CrashJudgement,
+                crash_book::{CrashTracker, VerdictChange},
+                crash_mark::{CrashReport, CrashUpdates, StoredVerdict},
+                crash_record::CrashVerdict,
                 digest::RequestDigest,
                 findings_cache::{CachePosition, MarkSource},
                 loads::EngineKey,
@@ -36,7 +36,7 @@
 
 /// The book, and what goes with it.
 pub struct CrashDesk {
-    book: RefCell<CrashBook>,
+    book: RefCell<CrashTracker>,
     // Those that this host's entry in the store keeps.
     kept: RefCell<BTreeSet<RequestDigest>>,
     // Up to where this host was told of each other's book, by its address.
@@ -56,7 +56,7 @@
     /// An empty book; `id` is drawn at random.
     pub fn new(id: u64) -> Self {
         Self {
-            book: RefCell::new(CrashBook::new(id)),
+            book: RefCell::new(CrashTracker::new(id)),
             kept: RefCell::default(),
             told: RefCell::default(),
             has_learned: Cell::default(),
@@ -98,12 +98,12 @@
 
 impl RelayParts {
     /// What a request is held to be, and that it has come.
-    pub fn judge(&self, digest: RequestDigest) -> CrashJudgement {
+    pub fn judge(&self, digest: RequestDigest) -> CrashVerdict {
         let now = self.now();
         let mut book = self.crashes.book.borrow_mut();
-        let judgement = book.judge(digest, now);
-        if judgement != CrashJudgement::Harmless {
-            book.note_seen(digest, now);
+        let judgement = book.verdict(digest, now);
+        if judgement != CrashVerdict::Harmless {
+            book.record_seen(digest, now);
         }
         judgement
     }
@@ -113,7 +113,7 @@
         let run = EngineKey::of_run(&backend.id, backend.born);
         let change = {
             let mut book = self.crashes.book.borrow_mut();
-            book.note_end(digest, run, self.now())
+            book.record_crash(digest, run, self.now())
         };
         self.crash_noted(digest, change);
     }
@@ -127,7 +127,7 @@
         let before = self.crashes.book.borrow().place();
         let change = {
             let mut book = self.crashes.book.borrow_mut();
-            book.note_good_run(digest, self.now())
+            book.record_success(digest, self.now())
         };
         if self.crashes.book.borrow().place() != before {
             self.crash_noted(digest, change);
@@ -157,8 +157,8 @@
         }
     }
 
-    fn crash_noted(&self, digest: RequestDigest, change: Option<CrashChange>) {
-        if change == Some(CrashChange::Judged) {
+    fn crash_noted(&self, digest: RequestDigest, change: Option<VerdictChange>) {
+        if change == Some(VerdictChange::BecameFatal) {
             self.keep_judgement(digest);
         }
         if let Some(change) = change {
@@ -169,14 +169,14 @@
     }
 
     /// Takes what another host told.
-    pub fn take_marks(&self, marks: &[CrashMark], source: MarkSource) {
+    pub fn take_marks(&self, marks: &[CrashReport], source: MarkSource) {
         if marks.is_empty() {
             return;
         }
         let before = self.crashes.book.borrow().place();
         let changes = {
             let mut book = self.crashes.book.borrow_mut();
-            book.take(marks, source, self.now())
+            book.merge(marks, source, self.now())
         };
         self.log_judgements(&changes);
         if self.crashes.book.borrow().place() == before {
@@ -185,7 +185,7 @@
         if source == MarkSource::Reported {
             let judged = changes
                 .iter()
-                .filter(|(_, change)| *change == CrashChange::Judged);
+                .filter(|(_, change)| *change == VerdictChange::BecameFatal);
             judged.for_each(|(digest, _)| self.keep_judgement(*digest));
             self.reported.notify_one();
         }
@@ -201,14 +201,14 @@
     }
 
     /// What this host's entry in the store is to keep.
-    pub fn kept_judgements(&self) -> Vec<KeptJudgement> {
+    pub fn kept_judgements(&self) -> Vec<StoredVerdict> {
         let book = self.crashes.book.borrow();
         let mut kept = self.crashes.kept.borrow_mut();
-        kept.retain(|digest| book.fatal_mark(*digest, self.now()).is_some());
+        kept.retain(|digest| book.fatal_report(*digest, self.now()).is_some());
         let marks = kept
             .iter()
-            .filter_map(|digest| book.fatal_mark(*digest, self.now()));
-        marks.map(|mark| KeptJudgement::of(&mark)).collect()
+            .filter_map(|digest| book.fatal_report(*digest, self.now()));
+        marks.map(|mark| StoredVerdict::of(&mark)).collect()
     }
 
     /// The list of hosts has changed.
@@ -243,7 +243,7 @@
         let kept = cluster
             .hosts()
             .map(|entry| (entry.name.clone(), kept_marks(entry)));
-        let kept: Vec<(FastStr, Vec<CrashMark>)> = kept.collect();
+        let kept: Vec<(FastStr, Vec<CrashReport>)> = kept.collect();
         drop(cluster);
         for (name, marks) in kept {
             if name == self.settings.name {
@@ -259,7 +259,7 @@
     }
 
     /// Takes what the host at an address told with its news.
-    pub fn take_crash_news(&self, news: &CrashNews, from: SocketAddr) {
+    pub fn take_crash_news(&self, news: &CrashUpdates, from: SocketAddr) {
         self.take_marks(&news.marks, MarkSource::Told);
         if news.place.book == 0 {
             return;
@@ -269,18 +269,18 @@
     }
 
     /// What an asker lacks that all hosts are to know. A host that has only just started does not pass for one that knows.
-    pub fn crash_news(&self, known: CachePosition) -> CrashNews {
+    pub fn crash_news(&self, known: CachePosition) -> CrashUpdates {
         let book = self.crashes.book.borrow();
-        let news = book.news_since(known, self.now());
+        let news = book.updates_since(known, self.now());
         let place = match self.crashes.has_learned.get() {
             true => news.place,
             false => CachePosition::default(),
         };
-        CrashNews { place, ..news }
+        CrashUpdates { place, ..news }
     }
 
     /// What another host is to hear of this one, after a revision of its book; and the revision to which that goes.
-    pub fn marks_to_report(&self, since: Option<u64>) -> (Vec<CrashMark>, u64) {
+    pub fn marks_to_report(&self, since: Option<u64>) -> (Vec<CrashReport>, u64) {
         let book = self.crashes.book.borrow();
         let marks = book.reported_since(since, self.now());
         (marks, book.place().revision)
@@ -291,11 +291,11 @@
         self.crashes.has_learned.get() || !self.cluster.borrow().hosts_position().is_known()
     }
 
-    fn log_judgements(&self, changes: &[(RequestDigest, CrashChange)]) {
+    fn log_judgements(&self, changes: &[(RequestDigest, VerdictChange)]) {
         for (digest, change) in changes {
             let kind = match change {
-                CrashChange::Judged => &event::REQUEST_JUDGED,
-                CrashChange::Cleared => &event::REQUEST_CLEARED,
+                VerdictChange::BecameFatal => &event::REQUEST_JUDGED,
+                VerdictChange::NoLongerFatal => &event::REQUEST_CLEARED,
             };
             event::emit(kind, &[("digest", digest)]);
         }
@@ -306,7 +306,7 @@
     kept_marks(entry).iter().any(|mark| mark.digest == digest)
 }
 
-fn kept_marks(entry: &HostEntry) -> Vec<CrashMark> {
+fn kept_marks(entry: &HostEntry) -> Vec<CrashReport> {
     let kept = entry.judged.iter();
-    kept.filter_map(KeptJudgement::mark).collect()
+    kept.filter_map(StoredVerdict::report).collect()
 }
--- a/src/relay/policy/crash_book.rs
+++ b/src/relay/policy/crash_book.rs
@@ -7,8 +7,8 @@
 
 use {
     super::{
-        crash_mark::{CrashMark, CrashNews},
-        crash_record::{CrashJudgement, CrashRecord, FATAL_CRASHES},
+        crash_mark::{CrashReport, CrashUpdates},
+        crash_record::{CrashRecord, CrashVerdict, FATAL_CRASHES},
         digest::RequestDigest,
         findings_cache::{CachePosition, FindingsCache, MarkSource},
         loads::EngineKey,
@@ -31,21 +31,21 @@
 
 /// How the verdict on a request changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CrashChange {
+pub enum VerdictChange {
     /// The request now counts as fatal.
-    Judged,
+    BecameFatal,
     /// The request no longer counts as fatal.
-    Cleared,
+    NoLongerFatal,
 }
 
 /// The requests that were running on backend servers when those crashed.
 #[derive(Debug)]
-pub struct CrashBook {
+pub struct CrashTracker {
     records: FindingsCache<RequestDigest, CrashRecord>,
 }
 
-impl CrashBook {
-    /// An empty book; `id` is a random number that identifies it to other hosts.
+impl CrashTracker {
+    /// An empty tracker; `id` is a random number that identifies it to other hosts.
     pub fn new(id: u64) -> Self {
         Self {
             records: FindingsCache::new(id),
@@ -75,53 +75,57 @@
     /// The requests that count as fatal.
     pub fn fatal_digests(&self) -> Vec<RequestDigest> {
         let records = self.records.iter();
-        let fatal = records.filter(|(_, record)| record.count() >= FATAL_CRASHES);
+        let fatal = records.filter(|(_, record)| record.counted_crashes() >= FATAL_CRASHES);
         fatal.map(|(digest, _)| *digest).collect()
     }
 
     /// The current verdict on a request.
-    pub fn judge(&self, digest: RequestDigest, now: Duration) -> CrashJudgement {
+    pub fn verdict(&self, digest: RequestDigest, now: Duration) -> CrashVerdict {
         let record = self.records.get(&digest);
-        record.map_or(CrashJudgement::Harmless, |record| record.judge(now))
+        record.map_or(CrashVerdict::Harmless, |record| record.verdict(now))
     }
 
     /// Records that a server run crashed while it was running a request of this host.
-    pub fn note_end(
+    pub fn record_crash(
         &mut self,
         digest: RequestDigest,
         run: EngineKey,
         now: Duration,
-    ) -> Option<CrashChange> {
+    ) -> Option<VerdictChange> {
         let at = PastTime::at(now);
         self.change(digest, at, MarkSource::Reported, now, |record| {
-            record.note_end(run, at)
+            record.record_crash(run, at)
         })
     }
 
     /// Records that a request of this host completed.
-    pub fn note_good_run(&mut self, digest: RequestDigest, now: Duration) -> Option<CrashChange> {
+    pub fn record_success(
+        &mut self,
+        digest: RequestDigest,
+        now: Duration,
+    ) -> Option<VerdictChange> {
         self.records.get(&digest)?;
         let at = PastTime::at(now);
         self.change(digest, at, MarkSource::Reported, now, CrashRecord::excuse)
     }
 
     /// Extends the life of a request's record, if there is one, because the request was received again.
-    pub fn note_seen(&mut self, digest: RequestDigest, now: Duration) {
+    pub fn record_seen(&mut self, digest: RequestDigest, now: Duration) {
         let at = PastTime::at(now);
         if self.records.get(&digest).is_some() {
             self.change(digest, at, MarkSource::Reported, now, |record| {
-                record.note_seen(at)
+                record.record_seen(at)
             });
         }
     }
 
     /// Whether a fatal request may be sent once more as a trial, one for all hosts together. Records the trial if so.
     pub fn grant_trial(&mut self, digest: RequestDigest, now: Duration) -> bool {
-        let is_due = self.judge(digest, now) == CrashJudgement::TrialDue;
+        let is_due = self.verdict(digest, now) == CrashVerdict::TrialDue;
         if is_due {
             let at = PastTime::at(now);
             self.change(digest, at, MarkSource::Reported, now, |record| {
-                record.note_trial(at);
+                record.record_trial(at);
                 true
             });
         }
@@ -129,21 +133,21 @@
     }
 
     /// Merges the records of another host; returns the requests whose verdict changed.
-    pub fn take(
+    pub fn merge(
         &mut self,
-        marks: &[CrashMark],
+        reports: &[CrashReport],
         source: MarkSource,
         now: Duration,
-    ) -> Vec<(RequestDigest, CrashChange)> {
-        let changes = marks.iter().filter_map(|mark| {
-            let received = &CrashRecord::told(mark, now);
+    ) -> Vec<(RequestDigest, VerdictChange)> {
+        let changes = reports.iter().filter_map(|report| {
+            let received = &CrashRecord::from_report(report, now);
             if is_expired(received, now) {
                 return None;
             }
-            let change = self.change(mark.digest, received.seen(), source, now, |record| {
+            let change = self.change(report.digest, received.seen(), source, now, |record| {
                 record.merge(received)
             });
-            Some((mark.digest, change?))
+            Some((report.digest, change?))
         });
         changes.collect()
     }
@@ -156,7 +160,7 @@
         source: MarkSource,
         now: Duration,
         change: impl FnOnce(&mut CrashRecord) -> bool,
-    ) -> Option<CrashChange> {
+    ) -> Option<VerdictChange> {
         let was_fatal = self.is_fatal(digest);
         let begin = || CrashRecord::new(seen);
         if !self.records.change(digest, begin, source, now, change) {
@@ -165,23 +169,23 @@
         let is_fatal = self.is_fatal(digest);
         self.evict(now);
         match (was_fatal, is_fatal) {
-            (false, true) => Some(CrashChange::Judged),
-            (true, false) => Some(CrashChange::Cleared),
+            (false, true) => Some(VerdictChange::BecameFatal),
+            (true, false) => Some(VerdictChange::NoLongerFatal),
             _ => None,
         }
     }
 
     fn is_fatal(&self, digest: RequestDigest) -> bool {
         let record = self.records.get(&digest);
-        record.is_some_and(|record| record.count() >= FATAL_CRASHES)
+        record.is_some_and(|record| record.counted_crashes() >= FATAL_CRASHES)
     }
 
     fn evict(&mut self, now: Duration) {
         self.records.retain(|_, record| !is_expired(record, now));
         while self.records.len() > MAX_RECORDS {
             let records = self.records.iter();
-            let least =
-                records.min_by_key(|(digest, record)| (record.count(), record.seen(), **digest));
+            let least = records
+                .min_by_key(|(digest, record)| (record.counted_crashes(), record.seen(), **digest));
             let Some(digest) = least.map(|(digest, _)| *digest) else {
                 return;
             };
@@ -189,45 +193,45 @@
         }
     }
 
-    /// The records for all hosts that a peer lacks; `known` is the position up to which it received this book.
-    pub fn news_since(&self, known: CachePosition, now: Duration) -> CrashNews {
+    /// The records for all hosts that a peer lacks; `known` is the position up to which it received this tracker.
+    pub fn updates_since(&self, known: CachePosition, now: Duration) -> CrashUpdates {
         // Includes excused crashes: a peer may have received them before they were excused.
-        let told = self.records.since(known);
-        let told = told.filter(|(_, record)| record.runs() >= MIN_CRASHES_TO_SHARE);
-        let marks = told
-            .map(|(digest, record)| record.mark(*digest, now))
+        let changed = self.records.since(known);
+        let changed = changed.filter(|(_, record)| record.crash_count() >= MIN_CRASHES_TO_SHARE);
+        let reports = changed
+            .map(|(digest, record)| record.report(*digest, now))
             .collect();
-        CrashNews {
+        CrashUpdates {
             place: self.place(),
-            marks,
+            marks: reports,
         }
     }
 
     /// The changes after a revision that are reported to an aggregating or distributing host. A host that received no
     /// report yet gets the recent changes only: the previous aggregator has distributed the earlier ones.
-    pub fn reported_since(&self, revision: Option<u64>, now: Duration) -> Vec<CrashMark> {
+    pub fn reported_since(&self, revision: Option<u64>, now: Duration) -> Vec<CrashReport> {
         let reported = self.records.reported_since(revision, now);
-        let marks = reported.map(|(digest, record)| record.mark(*digest, now));
-        marks.collect()
+        let reports = reported.map(|(digest, record)| record.report(*digest, now));
+        reports.collect()
     }
 
     /// The record of a fatal request in the form sent to other hosts; `None` if the request does not count as fatal.
-    pub fn fatal_mark(&self, digest: RequestDigest, now: Duration) -> Option<CrashMark> {
+    pub fn fatal_report(&self, digest: RequestDigest, now: Duration) -> Option<CrashReport> {
         let record = self.records.get(&digest)?;
-        self.is_fatal(digest).then(|| record.mark(digest, now))
+        self.is_fatal(digest).then(|| record.report(digest, now))
     }
 
     /// At most `most` records, those with the most crashes first, then the most recently changed. Enough for hosts that
     /// all exchange records with each other.
-    pub fn latest(&self, most: usize, now: Duration) -> Vec<CrashMark> {
+    pub fn latest(&self, most: usize, now: Duration) -> Vec<CrashReport> {
         let mut latest: Vec<(&RequestDigest, &CrashRecord)> = self.records.iter().collect();
         latest.sort_by_key(|(digest, record)| {
-            Reverse((record.count(), self.records.changed(digest)))
+            Reverse((record.counted_crashes(), self.records.changed(digest)))
         });
         latest.truncate(most);
-        let marks = latest.into_iter();
-        marks
-            .map(|(digest, record)| record.mark(*digest, now))
+        let reports = latest.into_iter();
+        reports
+            .map(|(digest, record)| record.report(*digest, now))
             .collect()
     }
 }
--- a/src/relay/policy/crash_mark.rs
+++ b/src/relay/policy/crash_mark.rs
@@ -10,7 +10,7 @@
 
 /// The crash of one server run while it was running a request, as sent to other hosts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndMark {
+pub struct CrashEntry {
     /// The server run.
     pub run: EngineKey,
     /// How long ago it crashed.
@@ -21,11 +21,11 @@
 
 /// A host's record of one request, as sent to other hosts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CrashMark {
+pub struct CrashReport {
     /// The digest of the request.
     pub digest: RequestDigest,
     /// The server runs that crashed while they were running it.
-    pub ends: Vec<EndMark>,
+    pub ends: Vec<CrashEntry>,
     /// How long ago each trial was.
     pub trials: Vec<Duration>,
     /// How long ago the request was last seen.
@@ -37,7 +37,7 @@
 /// It has no ages, since no host's clock survives such a restart. Its crashes and trials count as having happened when
 /// it is read, so the next trial comes later by at most the time since they happened.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptJudgement {
+pub struct StoredVerdict {
     /// The digest of the request in hexadecimal, since readers of the store may not support 128-bit integers.
     pub digest: FastStr,
     /// Hashes of the server runs that crashed.
@@ -46,26 +46,26 @@
     pub trials: u8,
 }
 
-impl KeptJudgement {
+impl StoredVerdict {
     /// The stored form of a record; excused crashes are left out.
-    pub fn of(mark: &CrashMark) -> Self {
-        let counted = mark.ends.iter().filter(|end| !end.is_excused);
+    pub fn of(report: &CrashReport) -> Self {
+        let counted = report.ends.iter().filter(|end| !end.is_excused);
         Self {
-            digest: FastStr::from_string(format!("{:032x}", mark.digest.0)),
+            digest: FastStr::from_string(format!("{:032x}", report.digest.0)),
             runs: counted.map(|end| end.run.0).collect(),
-            trials: mark.trials.len() as u8,
+            trials: report.trials.len() as u8,
         }
     }
 
     /// The record, with all ages zero; `None` if the digest is not valid hexadecimal.
-    pub fn mark(&self) -> Option<CrashMark> {
+    pub fn report(&self) -> Option<CrashReport> {
         let digest = u128::from_str_radix(&self.digest, 16).ok()?;
-        let ends = self.runs.iter().map(|run| EndMark {
+        let ends = self.runs.iter().map(|run| CrashEntry {
             run: EngineKey(*run),
             age: Duration::ZERO,
             is_excused: false,
         });
-        Some(CrashMark {
+        Some(CrashReport {
             digest: RequestDigest(digest),
             ends: ends.collect(),
             trials: vec![Duration::ZERO; usize::from(self.trials)],
@@ -74,5 +74,5 @@
     }
 }
 
-/// The records of a [`CrashBook`](super::crash_book::CrashBook) that a peer lacks.
-pub type CrashNews = CacheUpdates<CrashMark>;
+/// The records of a [`CrashTracker`](super::crash_book::CrashTracker) that a peer lacks.
+pub type CrashUpdates = CacheUpdates<CrashReport>;
--- a/src/relay/policy/crash_record.rs
+++ b/src/relay/policy/crash_record.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        crash_mark::{CrashMark, EndMark},
+        crash_mark::{CrashEntry, CrashReport},
         digest::RequestDigest,
         loads::EngineKey,
         past_time::PastTime,
@@ -41,7 +41,7 @@
 
 /// The verdict on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CrashJudgement {
+pub enum CrashVerdict {
     /// No crash counts against it.
     Harmless,
     /// This many crashes count against it, too few to call it the cause.
@@ -75,29 +75,29 @@
     }
 
     /// A record received from another host.
-    pub fn told(mark: &CrashMark, now: Duration) -> Self {
+    pub fn from_report(report: &CrashReport, now: Duration) -> Self {
         let ago = |age: Duration| PastTime::at(now).before(age);
-        let mut record = Self::new(ago(mark.seen));
-        for end in &mark.ends {
+        let mut record = Self::new(ago(report.seen));
+        for end in &report.ends {
             record.add(ServerCrash {
                 run: end.run,
                 at: ago(end.age),
                 is_excused: end.is_excused,
             });
         }
-        let trials: Vec<PastTime> = mark.trials.iter().copied().map(ago).collect();
+        let trials: Vec<PastTime> = report.trials.iter().copied().map(ago).collect();
         record.add_trials(&trials);
         record
     }
 
     /// The record in the form sent to other hosts.
-    pub fn mark(&self, digest: RequestDigest, now: Duration) -> CrashMark {
-        let ends = self.ends.iter().map(|end| EndMark {
+    pub fn report(&self, digest: RequestDigest, now: Duration) -> CrashReport {
+        let ends = self.ends.iter().map(|end| CrashEntry {
             run: end.run,
             age: end.at.age(now),
             is_excused: end.is_excused,
         });
-        CrashMark {
+        CrashReport {
             digest,
             ends: ends.collect(),
             trials: self.trials.iter().map(|at| at.age(now)).collect(),
@@ -111,18 +111,18 @@
     }
 
     /// The number of crashes, excused ones included.
-    pub fn runs(&self) -> usize {
+    pub fn crash_count(&self) -> usize {
         self.ends.len()
     }
 
     /// The number of crashes that count; each server run counts once, however many hosts saw it crash.
-    pub fn count(&self) -> usize {
+    pub fn counted_crashes(&self) -> usize {
         self.ends.iter().filter(|end| !end.is_excused).count()
     }
 
     /// Records the crash of a run. Returns whether it was not known before.
-    pub fn note_end(&mut self, run: EngineKey, at: PastTime) -> bool {
-        self.note_seen(at);
+    pub fn record_crash(&mut self, run: EngineKey, at: PastTime) -> bool {
+        self.record_seen(at);
         self.add(ServerCrash {
             run,
             at,
@@ -132,7 +132,7 @@
 
     /// Excuses all crashes so far, because the request completed. Returns whether any of them counted.
     pub fn excuse(&mut self) -> bool {
-        let any_counted = self.count() > 0;
+        let any_counted = self.counted_crashes() > 0;
         for end in &mut self.ends {
             end.is_excused = true;
         }
@@ -140,7 +140,7 @@
     }
 
     /// Records that the request was received again. Returns whether other hosts need to know.
-    pub fn note_seen(&mut self, at: PastTime) -> bool {
+    pub fn record_seen(&mut self, at: PastTime) -> bool {
         let is_later = at.before(SEEN_INTERVAL) >= self.seen;
         if is_later {
             self.seen = at;
@@ -149,7 +149,7 @@
     }
 
     /// Records that a trial begins.
-    pub fn note_trial(&mut self, now: PastTime) {
+    pub fn record_trial(&mut self, now: PastTime) {
         assert!(
             self.trials.len() < TRIAL_DELAYS.len(),
             "a fatal request gets at most two trials"
@@ -164,30 +164,30 @@
             self.add(*end);
         }
         self.add_trials(&other.trials);
-        self.note_seen(other.seen);
+        self.record_seen(other.seen);
         *self != before
     }
 
     /// The current verdict.
-    pub fn judge(&self, now: Duration) -> CrashJudgement {
-        match self.count() {
-            0 => CrashJudgement::Harmless,
-            count if count < FATAL_CRASHES => CrashJudgement::Suspected(count),
-            _ => self.judge_fatal(now),
+    pub fn verdict(&self, now: Duration) -> CrashVerdict {
+        match self.counted_crashes() {
+            0 => CrashVerdict::Harmless,
+            count if count < FATAL_CRASHES => CrashVerdict::Suspected(count),
+            _ => self.fatal_verdict(now),
         }
     }
 
-    fn judge_fatal(&self, now: Duration) -> CrashJudgement {
+    fn fatal_verdict(&self, now: Duration) -> CrashVerdict {
         let counted = self.ends.iter().filter(|end| !end.is_excused);
         let events = counted.map(|end| end.at).chain(self.trials.iter().copied());
         let since = events.max().map_or(Duration::ZERO, |last| last.age(now));
         let Some(delay) = TRIAL_DELAYS.get(self.trials.len()) else {
             // Rejected for as long as it is being received.
-            return CrashJudgement::Fatal(RETRY_AFTER);
+            return CrashVerdict::Fatal(RETRY_AFTER);
         };
         match delay.checked_sub(since) {
-            Some(left) if !left.is_zero() => CrashJudgement::Fatal(left),
-            _ => CrashJudgement::TrialDue,
+            Some(left) if !left.is_zero() => CrashVerdict::Fatal(left),
+            _ => CrashVerdict::TrialDue,
         }
     }
 
--- a/src/relay/policy/shared_findings.rs
+++ b/src/relay/policy/shared_findings.rs
@@ -1,12 +1,12 @@
 //! The findings from requests that a host sends to another host in one message.
 
-use super::{crash_mark::CrashMark, limit_updates::LimitUpdate};
+use super::{crash_mark::CrashReport, limit_updates::LimitUpdate};
 
 /// The findings of one host or of a whole zone.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SharedFindings {
     /// Requests that were running on servers when those crashed.
-    pub crashes: Vec<CrashMark>,
+    pub crashes: Vec<CrashReport>,
     /// Reported limits of servers.
     pub limits: Vec<LimitUpdate>,
 }
--- a/src/relay/request/judge.rs
+++ b/src/relay/request/judge.rs
@@ -4,7 +4,7 @@
     super::call::RelayCall,
     crate::{
         operation::{Refusal, RefusalCode, RunVerdict},
-        relay::{parts::shared::RelayParts, policy::crash_record::CrashJudgement},
+        relay::{parts::shared::RelayParts, policy::crash_record::CrashVerdict},
     },
     faststr::FastStr,
     std::time::Duration,
@@ -26,12 +26,10 @@
         return Ok(call);
     }
     match parts.judge(call.digest()) {
-        CrashJudgement::Harmless => Ok(call),
-        CrashJudgement::Suspected(_) => Ok(call.suspected()),
-        CrashJudgement::Fatal(wait) => {
-            Err(refusal(parts, &call, service, RunVerdict::NotRun, wait))
-        }
-        CrashJudgement::TrialDue => match parts.ask_trial(call.digest()).await {
+        CrashVerdict::Harmless => Ok(call),
+        CrashVerdict::Suspected(_) => Ok(call.suspected()),
+        CrashVerdict::Fatal(wait) => Err(refusal(parts, &call, service, RunVerdict::NotRun, wait)),
+        CrashVerdict::TrialDue => match parts.ask_trial(call.digest()).await {
             true => Ok(call.suspected().on_trial()),
             false => Err(refusal(
                 parts,
@@ -61,11 +59,11 @@
         return Ok(());
     }
     let wait = match parts.judge(call.digest()) {
-        CrashJudgement::Harmless | CrashJudgement::Suspected(_) => return Ok(()),
+        CrashVerdict::Harmless | CrashVerdict::Suspected(_) => return Ok(()),
         // A trial is one run.
         _ if call.is_on_trial && verdict == RunVerdict::NotRun => return Ok(()),
-        CrashJudgement::Fatal(wait) => wait,
-        CrashJudgement::TrialDue => COME_BACK_TRIAL,
+        CrashVerdict::Fatal(wait) => wait,
+        CrashVerdict::TrialDue => COME_BACK_TRIAL,
     };
     Err(refusal(parts, call, service, verdict, wait))
 }
--- a/tests/fleet_sim/crashes.rs
+++ b/tests/fleet_sim/crashes.rs
@@ -3,7 +3,8 @@
 use {
     super::{PATIENCE, STEP, SimFleet, SimTrouble},
     bayplank::relay::{
-        CachePosition, CrashBook, CrashJudgement, CrashMark, EngineKey, MarkSource, RequestDigest,
+        CachePosition, CrashReport, CrashTracker, CrashVerdict, EngineKey, MarkSource,
+        RequestDigest,
     },
     faststr::FastStr,
     rand::seq::SliceRandom,
@@ -22,7 +23,7 @@
 const END_BYTES: u64 = 16;
 
 pub struct SimCrashes {
-    pub book: CrashBook,
+    pub book: CrashTracker,
     // Up to where this host was told of each other's book.
     places: BTreeMap<usize, CachePosition>,
     // Up to which revision of its own book it has told the head of its zone, or another zone.
@@ -37,7 +38,7 @@
 impl SimCrashes {
     pub fn new(id: u64) -> Self {
         Self {
-            book: CrashBook::new(id),
+            book: CrashTracker::new(id),
             places: BTreeMap::new(),
             told: BTreeMap::new(),
             passed_over: BTreeMap::new(),
@@ -48,7 +49,7 @@
     }
 }
 
-fn bytes_of(marks: &[CrashMark]) -> u64 {
+fn bytes_of(marks: &[CrashReport]) -> u64 {
     let sizes = marks.iter();
     sizes
         .map(|mark| MARK_BYTES + END_BYTES * mark.ends.len() as u64)
@@ -66,18 +67,15 @@
         let crashes = &mut self.hosts[index].crashes;
         crashes
             .book
-            .note_end(RequestDigest(digest), EngineKey(run), now);
+            .record_crash(RequestDigest(digest), EngineKey(run), now);
         crashes.next_look = self.now;
     }
 
     /// Whether a host holds a request for one that ends its servers.
     pub fn holds_fatal(&self, index: usize, digest: u128) -> bool {
         let book = &self.hosts[index].crashes.book;
-        let judgement = book.judge(RequestDigest(digest), self.crash_now());
-        matches!(
-            judgement,
-            CrashJudgement::Fatal(_) | CrashJudgement::TrialDue
-        )
+        let judgement = book.verdict(RequestDigest(digest), self.crash_now());
+        matches!(judgement, CrashVerdict::Fatal(_) | CrashVerdict::TrialDue)
     }
 
     /// Runs until all hosts that are up and that `counts` names hold a request for fatal; gives how long that took.
@@ -129,7 +127,7 @@
     pub(super) fn has_crash_news(&self, index: usize, from: usize) -> bool {
         let known = self.hosts[index].crashes.places.get(&from).copied();
         let book = &self.hosts[from].crashes.book;
-        let news = book.news_since(known.unwrap_or_default(), self.crash_now());
+        let news = book.updates_since(known.unwrap_or_default(), self.crash_now());
         !news.marks.is_empty()
     }
 
@@ -137,10 +135,10 @@
         let now = self.crash_now();
         let known = self.hosts[index].crashes.places.get(&from).copied();
         let teller = &mut self.hosts[from].crashes;
-        let news = teller.book.news_since(known.unwrap_or_default(), now);
+        let news = teller.book.updates_since(known.unwrap_or_default(), now);
         teller.sent_bytes += bytes_of(&news.marks);
         let crashes = &mut self.hosts[index].crashes;
-        crashes.book.take(&news.marks, MarkSource::Told, now);
+        crashes.book.merge(&news.marks, MarkSource::Told, now);
         crashes.places.insert(from, news.place);
     }
 
@@ -240,7 +238,7 @@
         };
         let at = &mut self.hosts[to].crashes;
         let before = at.book.place();
-        at.book.take(&marks, source, now);
+        at.book.merge(&marks, source, now);
         if at.book.place() != before {
             at.next_look = self.now;
         }
--- a/tests/relay_crash_innocents.rs
+++ b/tests/relay_crash_innocents.rs
@@ -10,7 +10,7 @@
     bayplank::{
         engine::EngineRole,
         relay::{
-            BackendBook, BackendInfo, CachePosition, CrashBook, CrashJudgement, EngineKey,
+            BackendBook, BackendInfo, CachePosition, CrashTracker, CrashVerdict, EngineKey,
             EngineLoad, MarkSource, RequestDigest,
         },
     },
@@ -60,7 +60,7 @@
 
 struct SimHost {
     book: BackendBook,
-    crashes: CrashBook,
+    crashes: CrashTracker,
     place: CachePosition,
     sent_revision: u64,
 }
@@ -80,7 +80,7 @@
     rng: StdRng,
     hosts: Vec<SimHost>,
     // Aggregates the records of all hosts and sends them back every 100 ms.
-    hub: CrashBook,
+    hub: CrashTracker,
     engines: Vec<SimEngine>,
     // Requests that will be retried, with the time.
     retries: Vec<(u64, SimRequest)>,
@@ -101,7 +101,7 @@
     fn new(seed: u64) -> Self {
         let hosts = (0..HOSTS).map(|index| SimHost {
             book: BackendBook::default(),
-            crashes: CrashBook::new(index as u64 + 1),
+            crashes: CrashTracker::new(index as u64 + 1),
             place: CachePosition::default(),
             sent_revision: 0,
         });
@@ -118,7 +118,7 @@
             now: 1_000,
             rng: StdRng::seed_from_u64(seed),
             hosts: hosts.collect(),
-            hub: CrashBook::new(99),
+            hub: CrashTracker::new(99),
             engines: engines.collect(),
             retries: Vec::new(),
             next_digest: 1,
@@ -205,11 +205,11 @@
     fn send(&mut self, mut request: SimRequest) {
         let at = self.rng.random_range(0..HOSTS);
         let now = time(self.now);
-        let judgement = self.hosts[at].crashes.judge(request.digest, now);
+        let judgement = self.hosts[at].crashes.verdict(request.digest, now);
         let is_sent = match judgement {
-            CrashJudgement::Harmless | CrashJudgement::Suspected(_) => true,
-            CrashJudgement::Fatal(_) => false,
-            CrashJudgement::TrialDue => self.hub.grant_trial(request.digest, now),
+            CrashVerdict::Harmless | CrashVerdict::Suspected(_) => true,
+            CrashVerdict::Fatal(_) => false,
+            CrashVerdict::TrialDue => self.hub.grant_trial(request.digest, now),
         };
         if !is_sent {
             if !request.is_fatal {
@@ -220,7 +220,7 @@
             }
             return;
         }
-        let is_suspected = matches!(judgement, CrashJudgement::Suspected(_));
+        let is_suspected = matches!(judgement, CrashVerdict::Suspected(_));
         let host = &mut self.hosts[at];
         let ranked = host
             .book
@@ -273,7 +273,7 @@
                     self.crash_engine(engine, Some((digest, host)));
                 } else {
                     let crashes = &mut self.hosts[run.host].crashes;
-                    crashes.note_good_run(run.request.digest, time(self.now));
+                    crashes.record_success(run.request.digest, time(self.now));
                 }
             }
         }
@@ -307,7 +307,7 @@
         let broken: Vec<(RequestDigest, usize)> = broken.chain(cause).collect();
         for (digest, host) in broken {
             let crashes = &mut self.hosts[host].crashes;
-            crashes.note_end(digest, key, time(self.now));
+            crashes.record_crash(digest, key, time(self.now));
         }
         for run in runs {
             self.finish(engine, &run);
@@ -322,11 +322,11 @@
         for host in &mut self.hosts {
             let marks = host.crashes.reported_since(Some(host.sent_revision), now);
             host.sent_revision = host.crashes.place().revision;
-            self.hub.take(&marks, MarkSource::Reported, now);
+            self.hub.merge(&marks, MarkSource::Reported, now);
         }
         for host in &mut self.hosts {
-            let news = self.hub.news_since(host.place, now);
-            host.crashes.take(&news.marks, MarkSource::Told, now);
+            let news = self.hub.updates_since(host.place, now);
+            host.crashes.merge(&news.marks, MarkSource::Told, now);
             host.place = news.place;
         }
     }
--- a/tests/relay_crashes.rs
+++ b/tests/relay_crashes.rs
@@ -2,8 +2,8 @@
 
 use {
     bayplank::relay::{
-        CachePosition, CrashBook, CrashChange, CrashJudgement, CrashMark, EngineKey, MarkSource,
-        RequestDigest,
+        CachePosition, CrashReport, CrashTracker, CrashVerdict, EngineKey, MarkSource,
+        RequestDigest, VerdictChange,
     },
     bolero::check,
     nix::time::{ClockId, clock_gettime},
@@ -20,25 +20,22 @@
     EngineKey(number)
 }
 
-fn book_with_crashes(crashes: u32, now: Duration) -> CrashBook {
-    let mut book = CrashBook::new(1);
+fn book_with_crashes(crashes: u32, now: Duration) -> CrashTracker {
+    let mut book = CrashTracker::new(1);
     for number in 0..crashes {
-        book.note_end(FATAL, run(number), now);
+        book.record_crash(FATAL, run(number), now);
     }
     book
 }
 
-fn is_fatal(book: &CrashBook, now: Duration) -> bool {
-    let judgement = book.judge(FATAL, now);
-    matches!(
-        judgement,
-        CrashJudgement::Fatal(_) | CrashJudgement::TrialDue
-    )
+fn is_fatal(book: &CrashTracker, now: Duration) -> bool {
+    let judgement = book.verdict(FATAL, now);
+    matches!(judgement, CrashVerdict::Fatal(_) | CrashVerdict::TrialDue)
 }
 
 // All records that a book would send to any host.
-fn all_marks(book: &CrashBook, now: Duration) -> Vec<CrashMark> {
-    let mut marks = book.news_since(CachePosition::default(), now).marks;
+fn all_marks(book: &CrashTracker, now: Duration) -> Vec<CrashReport> {
+    let mut marks = book.updates_since(CachePosition::default(), now).marks;
     marks.extend(book.reported_since(Some(0), now));
     marks
 }
@@ -47,23 +44,23 @@
 fn a_request_is_fatal_after_three_crashes_and_not_after_two() {
     let now = seconds(10);
     for (crashes, verdict) in [
-        (0, CrashJudgement::Harmless),
-        (1, CrashJudgement::Suspected(1)),
-        (2, CrashJudgement::Suspected(2)),
-        (3, CrashJudgement::Fatal(seconds(40))),
+        (0, CrashVerdict::Harmless),
+        (1, CrashVerdict::Suspected(1)),
+        (2, CrashVerdict::Suspected(2)),
+        (3, CrashVerdict::Fatal(seconds(40))),
     ] {
-        assert_eq!(book_with_crashes(crashes, now).judge(FATAL, now), verdict);
+        assert_eq!(book_with_crashes(crashes, now).verdict(FATAL, now), verdict);
     }
 }
 
 #[test]
 fn a_change_of_verdict_is_returned_once() {
     let mut book = book_with_crashes(2, seconds(1));
-    let third = book.note_end(FATAL, run(2), seconds(2));
-    assert_eq!(third, Some(CrashChange::Judged));
-    assert_eq!(book.note_end(FATAL, run(3), seconds(2)), None);
-    let good = book.note_good_run(FATAL, seconds(3));
-    assert_eq!(good, Some(CrashChange::Cleared));
+    let third = book.record_crash(FATAL, run(2), seconds(2));
+    assert_eq!(third, Some(VerdictChange::BecameFatal));
+    assert_eq!(book.record_crash(FATAL, run(3), seconds(2)), None);
+    let good = book.record_success(FATAL, seconds(3));
+    assert_eq!(good, Some(VerdictChange::NoLongerFatal));
 }
 
 #[test]
@@ -71,66 +68,66 @@
     let now = seconds(10);
     let mut book = book_with_crashes(2, now);
     for host in 2..9 {
-        let mut other = CrashBook::new(host);
-        other.note_end(FATAL, run(0), now);
-        other.note_end(FATAL, run(1), now);
-        book.take(&all_marks(&other, now), MarkSource::Reported, now);
+        let mut other = CrashTracker::new(host);
+        other.record_crash(FATAL, run(0), now);
+        other.record_crash(FATAL, run(1), now);
+        book.merge(&all_marks(&other, now), MarkSource::Reported, now);
     }
-    assert_eq!(book.judge(FATAL, now), CrashJudgement::Suspected(2));
+    assert_eq!(book.verdict(FATAL, now), CrashVerdict::Suspected(2));
 }
 
 #[test]
 fn a_completed_request_excuses_earlier_crashes_and_no_later_ones() {
     let now = seconds(10);
     let mut book = book_with_crashes(3, now);
-    book.note_good_run(FATAL, now);
-    assert_eq!(book.judge(FATAL, now), CrashJudgement::Harmless);
+    book.record_success(FATAL, now);
+    assert_eq!(book.verdict(FATAL, now), CrashVerdict::Harmless);
     // The same crashes from a host that does not know that the request completed.
     let late = all_marks(&book_with_crashes(3, now), now);
-    book.take(&late, MarkSource::Told, now);
-    assert_eq!(book.judge(FATAL, now), CrashJudgement::Harmless);
-    book.note_end(FATAL, run(9), now);
-    assert_eq!(book.judge(FATAL, now), CrashJudgement::Suspected(1));
+    book.merge(&late, MarkSource::Told, now);
+    assert_eq!(book.verdict(FATAL, now), CrashVerdict::Harmless);
+    book.record_crash(FATAL, run(9), now);
+    assert_eq!(book.verdict(FATAL, now), CrashVerdict::Suspected(1));
 }
 
 #[test]
 fn a_fatal_request_gets_a_trial_within_a_minute() {
     let mut book = book_with_crashes(3, seconds(10));
-    let verdict = |book: &CrashBook, at: u64| book.judge(FATAL, seconds(at));
-    assert_eq!(verdict(&book, 49), CrashJudgement::Fatal(seconds(1)));
-    assert_eq!(verdict(&book, 50), CrashJudgement::TrialDue);
+    let verdict = |book: &CrashTracker, at: u64| book.verdict(FATAL, seconds(at));
+    assert_eq!(verdict(&book, 49), CrashVerdict::Fatal(seconds(1)));
+    assert_eq!(verdict(&book, 50), CrashVerdict::TrialDue);
     assert!(book.grant_trial(FATAL, seconds(52)));
     assert!(!book.grant_trial(FATAL, seconds(52)), "one trial");
-    assert!(matches!(verdict(&book, 52), CrashJudgement::Fatal(_)));
+    assert!(matches!(verdict(&book, 52), CrashVerdict::Fatal(_)));
     // The trial fails by chance; a second one follows within the minute.
-    book.note_end(FATAL, run(3), seconds(53));
-    assert_eq!(verdict(&book, 65), CrashJudgement::TrialDue);
+    book.record_crash(FATAL, run(3), seconds(53));
+    assert_eq!(verdict(&book, 65), CrashVerdict::TrialDue);
     assert!(book.grant_trial(FATAL, seconds(65)));
     assert_eq!(
-        book.note_good_run(FATAL, seconds(66)),
-        Some(CrashChange::Cleared)
+        book.record_success(FATAL, seconds(66)),
+        Some(VerdictChange::NoLongerFatal)
     );
 }
 
 #[test]
 fn a_single_crash_is_reported_only_to_aggregating_hosts() {
     let now = seconds(10);
-    let mut book = CrashBook::new(3);
+    let mut book = CrashTracker::new(3);
     for digest in 100..120 {
-        book.note_end(RequestDigest(digest), run(1), now);
+        book.record_crash(RequestDigest(digest), run(1), now);
     }
-    let news = book.news_since(CachePosition::default(), now);
+    let news = book.updates_since(CachePosition::default(), now);
     assert!(
         news.marks.is_empty(),
         "a single crash is not sent to all hosts"
     );
     assert_eq!(book.reported_since(None, now).len(), 20);
-    book.note_end(RequestDigest(100), run(2), now);
-    let next = book.news_since(news.place, now);
+    book.record_crash(RequestDigest(100), run(2), now);
+    let next = book.updates_since(news.place, now);
     assert_eq!(next.marks.len(), 1);
-    assert!(book.news_since(next.place, now).marks.is_empty());
-    book.note_good_run(RequestDigest(100), now);
-    assert_eq!(book.news_since(next.place, now).marks.len(), 1);
+    assert!(book.updates_since(next.place, now).marks.is_empty());
+    book.record_success(RequestDigest(100), now);
+    assert_eq!(book.updates_since(next.place, now).marks.len(), 1);
     let late_report = book.reported_since(None, now + seconds(31));
     assert!(
         late_report.is_empty(),
@@ -141,14 +138,14 @@
 #[test]
 fn repeated_exchange_changes_no_ages() {
     // The records go back and forth a thousand times, each time 3.7 ms later.
-    let mut books = [book_with_crashes(3, seconds(10)), CrashBook::new(2)];
+    let mut books = [book_with_crashes(3, seconds(10)), CrashTracker::new(2)];
     let mut now = seconds(10);
     let mut changes = 0;
     for turn in 0..1_000 {
         let marks = all_marks(&books[turn % 2], now);
         now += Duration::from_micros(3_700);
         let before = books[(turn + 1) % 2].place();
-        books[(turn + 1) % 2].take(&marks, MarkSource::Reported, now);
+        books[(turn + 1) % 2].merge(&marks, MarkSource::Reported, now);
         changes += u32::from(books[(turn + 1) % 2].place() != before);
     }
     assert_eq!(changes, 1);
@@ -159,7 +156,7 @@
     let mut book = book_with_crashes(3, seconds(10));
     for number in 1_000..5_000 {
         let now = seconds(10) + Duration::from_millis(number as u64);
-        book.note_end(RequestDigest(number), run(number as u32), now);
+        book.record_crash(RequestDigest(number), run(number as u32), now);
     }
     assert!(is_fatal(&book, seconds(20)));
     assert_eq!(book.len(), 512);
@@ -169,42 +166,42 @@
 fn a_record_expires_half_an_hour_after_its_request_was_last_seen() {
     let mut book = book_with_crashes(3, seconds(10));
     for minute in 1..=120 {
-        book.note_seen(FATAL, seconds(10 + minute * 60));
+        book.record_seen(FATAL, seconds(10 + minute * 60));
     }
     assert!(
         is_fatal(&book, seconds(7_300)),
         "the request was seen every minute"
     );
     let later = seconds(7_300 + 1_800);
-    book.note_end(RequestDigest(8), run(1), later);
+    book.record_crash(RequestDigest(8), run(1), later);
     assert!(!is_fatal(&book, later));
 }
 
 // Applies random steps to the books of several hosts, for the property test below.
-fn apply_steps(books: &mut [CrashBook], steps: &[(u8, u8, u8)], now: Duration) {
-    let mut messages: Vec<Vec<CrashMark>> = Vec::new();
+fn apply_steps(books: &mut [CrashTracker], steps: &[(u8, u8, u8)], now: Duration) {
+    let mut messages: Vec<Vec<CrashReport>> = Vec::new();
     for (step, at, what) in steps {
         let at = usize::from(*at) % books.len();
         let digest = RequestDigest(u128::from(what % 3));
         match step % 6 {
             0 | 1 => {
-                books[at].note_end(digest, run(u32::from(what / 3 % 5)), now);
+                books[at].record_crash(digest, run(u32::from(what / 3 % 5)), now);
             }
             2 => {
-                books[at].note_good_run(digest, now);
+                books[at].record_success(digest, now);
             }
             3 => messages.push(all_marks(&books[at], now)),
             // Messages arrive repeatedly, late and out of order.
             4 if !messages.is_empty() => {
                 let message = &messages[usize::from(*what) % messages.len()];
-                books[at].take(message, MarkSource::Reported, now);
+                books[at].merge(message, MarkSource::Reported, now);
             }
             4 => {}
             // A restarted host receives the records of another one.
             _ => {
                 let received = all_marks(&books[(at + 1) % books.len()], now);
-                books[at] = CrashBook::new(u64::from(*what) + 100);
-                books[at].take(&received, MarkSource::Told, now);
+                books[at] = CrashTracker::new(u64::from(*what) + 100);
+                books[at].merge(&received, MarkSource::Told, now);
             }
         }
     }
@@ -216,19 +213,19 @@
         .with_type::<Vec<(u8, u8, u8)>>()
         .for_each(|steps: &Vec<(u8, u8, u8)>| {
             let now = seconds(10);
-            let mut books: Vec<CrashBook> = (1..=4).map(CrashBook::new).collect();
+            let mut books: Vec<CrashTracker> = (1..=4).map(CrashTracker::new).collect();
             apply_steps(&mut books, steps, now);
             // All books exchange all records, senders and receivers in opposite orders.
             for _ in 0..2 {
                 for (from, to) in (0..4).flat_map(|from| (0..4).rev().map(move |to| (from, to))) {
                     let marks = all_marks(&books[from], now);
-                    books[to].take(&marks, MarkSource::Reported, now);
+                    books[to].merge(&marks, MarkSource::Reported, now);
                 }
             }
             for digest in (0..3).map(RequestDigest) {
                 let verdicts: Vec<bool> = books
                     .iter()
-                    .map(|book| matches!(book.judge(digest, now), CrashJudgement::Fatal(_)))
+                    .map(|book| matches!(book.verdict(digest, now), CrashVerdict::Fatal(_)))
                     .collect();
                 assert!(
                     verdicts.iter().all(|fatal| *fatal == verdicts[0]),
@@ -241,30 +238,30 @@
 #[test]
 fn a_request_known_as_fatal_everywhere_is_sent_at_most_three_times() {
     // For two hours, one of seven hosts receives the request each second. Each send crashes a server.
-    let mut books: Vec<CrashBook> = (1..=7).map(CrashBook::new).collect();
+    let mut books: Vec<CrashTracker> = (1..=7).map(CrashTracker::new).collect();
     let first = book_with_crashes(3, seconds(10));
     let marks = all_marks(&first, seconds(10));
     for book in &mut books {
-        book.take(&marks, MarkSource::Told, seconds(10));
+        book.merge(&marks, MarkSource::Told, seconds(10));
     }
     let mut sends = 0;
     for second in 11..7_200_u64 {
         let now = seconds(second);
         let at = (second * 5 % 7) as usize;
-        books[at].note_seen(FATAL, now);
-        let is_sent = match books[at].judge(FATAL, now) {
-            CrashJudgement::Fatal(_) => false,
+        books[at].record_seen(FATAL, now);
+        let is_sent = match books[at].verdict(FATAL, now) {
+            CrashVerdict::Fatal(_) => false,
             // All hosts ask the same host for the trial.
-            CrashJudgement::TrialDue => books[3].grant_trial(FATAL, now),
-            CrashJudgement::Harmless | CrashJudgement::Suspected(_) => true,
+            CrashVerdict::TrialDue => books[3].grant_trial(FATAL, now),
+            CrashVerdict::Harmless | CrashVerdict::Suspected(_) => true,
         };
         if is_sent {
             sends += 1;
-            books[at].note_end(FATAL, run(100 + sends), now);
+            books[at].record_crash(FATAL, run(100 + sends), now);
         }
-        let told: Vec<CrashMark> = books.iter().flat_map(|book| all_marks(book, now)).collect();
+        let told: Vec<CrashReport> = books.iter().flat_map(|book| all_marks(book, now)).collect();
         for book in &mut books {
-            book.take(&told, MarkSource::Told, now);
+            book.merge(&told, MarkSource::Told, now);
         }
     }
     assert!(sends <= 3, "{sends} sends");
