--- a/src/operation/crashes.rs
+++ b/src/operation/crashes.rs
@@ -6,7 +6,7 @@
         clock::HostClock,
         event,
         relay::{
-            CrashReport, CrashTracker, CrashVerdict, EngineKey, MarkSource, RequestDigest,
+            CrashReport, CrashTracker, CrashVerdict, EngineKey, FindingSource, RequestDigest,
             VerdictChange,
         },
         web::{self, ProbeOutcome},
@@ -103,7 +103,9 @@
         if marks.is_empty() {
             return;
         }
-        let changes = self.book().merge(marks, MarkSource::Told, self.clock.now());
+        let changes = self
+            .book()
+            .merge(marks, FindingSource::Distributed, self.clock.now());
         for (digest, change) in changes {
             log_change(digest, Some(change));
         }
--- a/src/relay/news/findings.rs
+++ b/src/relay/news/findings.rs
@@ -12,7 +12,7 @@
             parts::shared::RelayParts,
             policy::{
                 digest::RequestDigest,
-                findings_cache::MarkSource,
+                findings_cache::FindingSource,
                 shared_findings::{SharedFindings, SharedRevisions},
             },
             vital,
@@ -68,8 +68,8 @@
         // What one tells for its zone it tells all zones itself; a host that is no head has to tell its own.
         let is_head = self.follower.head().is_none();
         let source = match is_zone && is_head {
-            true => MarkSource::Told,
-            false => MarkSource::Reported,
+            true => FindingSource::Distributed,
+            false => FindingSource::Reported,
         };
         self.parts.take_marks(&findings.crashes, source);
         self.parts.take_limits(&findings.limits, source);
--- a/src/relay/news/message.rs
+++ b/src/relay/news/message.rs
@@ -123,8 +123,8 @@
     pub fn has_more_than(&self, held: &HeldNews) -> bool {
         let kinds = [&self.backends, &self.hosts];
         self.config_version > held.config_version
-            || !self.crashes.marks.is_empty()
-            || !self.limits.marks.is_empty()
+            || !self.crashes.findings.is_empty()
+            || !self.limits.findings.is_empty()
             || kinds
                 .iter()
                 .any(|kind| kind.is_whole || !kind.changes.is_empty())
@@ -160,9 +160,9 @@
     to.set_wait_ms(to_ms(Some(held.wait)));
     to.set_is_starting(held.is_starting);
     to.set_zone(held.zone.as_str());
-    to.set_crash_book(held.crashes.book);
+    to.set_crash_book(held.crashes.cache_id);
     to.set_crash_revision(held.crashes.revision);
-    to.set_limit_book(held.limits.book);
+    to.set_limit_book(held.limits.cache_id);
     to.set_limit_revision(held.limits.revision);
     if let Some(address) = held.peers {
         to.set_peers(address.to_string());
@@ -192,11 +192,11 @@
         zone: FastStr::new(from.get_zone()?.to_str()?),
         peers: read_address(from.get_peers()?.to_str()?)?,
         crashes: CachePosition {
-            book: from.get_crash_book(),
+            cache_id: from.get_crash_book(),
             revision: from.get_crash_revision(),
         },
         limits: CachePosition {
-            book: from.get_limit_book(),
+            cache_id: from.get_limit_book(),
             revision: from.get_limit_revision(),
         },
     })
@@ -245,16 +245,16 @@
     if !news.guides.is_empty() {
         to.set_guides(&to_json(&news.guides)?);
     }
-    let CrashUpdates { place, marks } = &news.crashes;
-    to.set_crash_book(place.book);
-    to.set_crash_revision(place.revision);
-    let list = to.reborrow().init_crashes(marks.len() as u32);
-    crash_message::write_marks(list, marks);
-    let CacheUpdates { place, marks } = &news.limits;
-    to.set_limit_book(place.book);
-    to.set_limit_revision(place.revision);
-    let list = to.reborrow().init_limits(marks.len() as u32);
-    limit_message::write_marks(list, marks);
+    let CrashUpdates { position, findings } = &news.crashes;
+    to.set_crash_book(position.cache_id);
+    to.set_crash_revision(position.revision);
+    let list = to.reborrow().init_crashes(findings.len() as u32);
+    crash_message::write_marks(list, findings);
+    let CacheUpdates { position, findings } = &news.limits;
+    to.set_limit_book(position.cache_id);
+    to.set_limit_revision(position.revision);
+    let list = to.reborrow().init_limits(findings.len() as u32);
+    limit_message::write_marks(list, findings);
     write_kind(to.reborrow().init_backends(), &news.backends)?;
     write_kind(to.init_hosts(), &news.hosts)
 }
@@ -279,18 +279,18 @@
         is_lost: from.get_is_lost(),
         held: Duration::from_millis(u64::from(from.get_held_ms())),
         crashes: CrashUpdates {
-            place: CachePosition {
-                book: from.get_crash_book(),
+            position: CachePosition {
+                cache_id: from.get_crash_book(),
                 revision: from.get_crash_revision(),
             },
-            marks: crash_message::read_marks(from.get_crashes()?)?,
+            findings: crash_message::read_marks(from.get_crashes()?)?,
         },
         limits: CacheUpdates {
-            place: CachePosition {
-                book: from.get_limit_book(),
+            position: CachePosition {
+                cache_id: from.get_limit_book(),
                 revision: from.get_limit_revision(),
             },
-            marks: limit_message::read_marks(from.get_limits()?)?,
+            findings: limit_message::read_marks(from.get_limits()?)?,
         },
     })
 }
--- a/src/relay/parts/crashes.rs
+++ b/src/relay/parts/crashes.rs
@@ -12,7 +12,7 @@
                 crash_mark::{CrashReport, CrashUpdates, StoredVerdict},
                 crash_record::CrashVerdict,
                 digest::RequestDigest,
-                findings_cache::{CachePosition, MarkSource},
+                findings_cache::{CachePosition, FindingSource},
                 loads::EngineKey,
             },
         },
@@ -124,12 +124,12 @@
             return;
         }
         let digest = digest();
-        let before = self.crashes.book.borrow().place();
+        let before = self.crashes.book.borrow().position();
         let change = {
             let mut book = self.crashes.book.borrow_mut();
             book.record_success(digest, self.now())
         };
-        if self.crashes.book.borrow().place() != before {
+        if self.crashes.book.borrow().position() != before {
             self.crash_noted(digest, change);
         }
     }
@@ -169,20 +169,20 @@
     }
 
     /// Takes what another host told.
-    pub fn take_marks(&self, marks: &[CrashReport], source: MarkSource) {
+    pub fn take_marks(&self, marks: &[CrashReport], source: FindingSource) {
         if marks.is_empty() {
             return;
         }
-        let before = self.crashes.book.borrow().place();
+        let before = self.crashes.book.borrow().position();
         let changes = {
             let mut book = self.crashes.book.borrow_mut();
             book.merge(marks, source, self.now())
         };
         self.log_judgements(&changes);
-        if self.crashes.book.borrow().place() == before {
+        if self.crashes.book.borrow().position() == before {
             return;
         }
-        if source == MarkSource::Reported {
+        if source == FindingSource::Reported {
             let judged = changes
                 .iter()
                 .filter(|(_, change)| *change == VerdictChange::BecameFatal);
@@ -251,7 +251,7 @@
                 own.for_each(|mark| self.keep_judgement(mark.digest));
             }
             if !self.crashes.has_learned.get() {
-                self.take_marks(&marks, MarkSource::Told);
+                self.take_marks(&marks, FindingSource::Distributed);
             }
         }
         self.crashes.has_learned.set(true);
@@ -260,11 +260,11 @@
 
     /// Takes what the host at an address told with its news.
     pub fn take_crash_news(&self, news: &CrashUpdates, from: SocketAddr) {
-        self.take_marks(&news.marks, MarkSource::Told);
-        if news.place.book == 0 {
+        self.take_marks(&news.findings, FindingSource::Distributed);
+        if news.position.cache_id == 0 {
             return;
         }
-        self.crashes.told.borrow_mut().insert(from, news.place);
+        self.crashes.told.borrow_mut().insert(from, news.position);
         self.crashes.has_learned.set(true);
     }
 
@@ -272,18 +272,18 @@
     pub fn crash_news(&self, known: CachePosition) -> CrashUpdates {
         let book = self.crashes.book.borrow();
         let news = book.updates_since(known, self.now());
-        let place = match self.crashes.has_learned.get() {
-            true => news.place,
+        let position = match self.crashes.has_learned.get() {
+            true => news.position,
             false => CachePosition::default(),
         };
-        CrashUpdates { place, ..news }
+        CrashUpdates { position, ..news }
     }
 
     /// What another host is to hear of this one, after a revision of its book; and the revision to which that goes.
     pub fn marks_to_report(&self, since: Option<u64>) -> (Vec<CrashReport>, u64) {
         let book = self.crashes.book.borrow();
         let marks = book.reported_since(since, self.now());
-        (marks, book.place().revision)
+        (marks, book.position().revision)
     }
 
     /// Whether this host was told which requests end servers, as far as anybody could tell it.
--- a/src/relay/parts/server_limits.rs
+++ b/src/relay/parts/server_limits.rs
@@ -7,7 +7,7 @@
         relay::{
             backend::BackendInfo,
             policy::{
-                findings_cache::{CachePosition, CacheUpdates, MarkSource},
+                findings_cache::{CachePosition, CacheUpdates, FindingSource},
                 limit_book::LimitSaying,
                 limit_updates::{LimitUpdate, LimitUpdates},
                 loads::EngineKey,
@@ -150,7 +150,7 @@
 
     fn note_for_others(&self, backend: &BackendInfo, saying: LimitSaying) {
         let mut news = self.limits.news.borrow_mut();
-        if news.note(backend.key(), saying, MarkSource::Reported, self.now()) {
+        if news.note(backend.key(), saying, FindingSource::Reported, self.now()) {
             self.reported.notify_one();
             self.news.notify_waiters();
         }
@@ -215,7 +215,7 @@
     }
 
     /// Takes what another host told of rate-limited servers.
-    pub fn take_limits(&self, marks: &[LimitUpdate], source: MarkSource) {
+    pub fn take_limits(&self, marks: &[LimitUpdate], source: FindingSource) {
         let now = self.now();
         let mut shown = BTreeMap::new();
         let mut has_news = false;
@@ -235,7 +235,7 @@
         if !has_news {
             return;
         }
-        if source == MarkSource::Reported {
+        if source == FindingSource::Reported {
             self.reported.notify_one();
         }
         self.news.notify_waiters();
@@ -259,9 +259,9 @@
 
     /// Takes what the host at an address told of rate-limited servers with its news.
     pub fn take_limit_updates(&self, news: &CacheUpdates<LimitUpdate>, from: SocketAddr) {
-        self.take_limits(&news.marks, MarkSource::Told);
-        if news.place.book != 0 {
-            self.limits.told.borrow_mut().insert(from, news.place);
+        self.take_limits(&news.findings, FindingSource::Distributed);
+        if news.position.cache_id != 0 {
+            self.limits.told.borrow_mut().insert(from, news.position);
         }
     }
 
--- a/src/relay/policy/crash_book.rs
+++ b/src/relay/policy/crash_book.rs
@@ -10,7 +10,7 @@
         crash_mark::{CrashReport, CrashUpdates},
         crash_record::{CrashRecord, CrashVerdict, FATAL_CRASHES},
         digest::RequestDigest,
-        findings_cache::{CachePosition, FindingsCache, MarkSource},
+        findings_cache::{CachePosition, FindingSource, FindingsCache},
         loads::EngineKey,
         past_time::PastTime,
     },
@@ -53,8 +53,8 @@
     }
 
     /// The position of a peer that has received everything; the revision increases with each change.
-    pub fn place(&self) -> CachePosition {
-        self.records.place()
+    pub fn position(&self) -> CachePosition {
+        self.records.position()
     }
 
     /// Whether there is no record.
@@ -93,7 +93,7 @@
         now: Duration,
     ) -> Option<VerdictChange> {
         let at = PastTime::at(now);
-        self.change(digest, at, MarkSource::Reported, now, |record| {
+        self.change(digest, at, FindingSource::Reported, now, |record| {
             record.record_crash(run, at)
         })
     }
@@ -106,14 +106,20 @@
     ) -> Option<VerdictChange> {
         self.records.get(&digest)?;
         let at = PastTime::at(now);
-        self.change(digest, at, MarkSource::Reported, now, CrashRecord::excuse)
+        self.change(
+            digest,
+            at,
+            FindingSource::Reported,
+            now,
+            CrashRecord::excuse,
+        )
     }
 
     /// Extends the life of a request's record, if there is one, because the request was received again.
     pub fn record_seen(&mut self, digest: RequestDigest, now: Duration) {
         let at = PastTime::at(now);
         if self.records.get(&digest).is_some() {
-            self.change(digest, at, MarkSource::Reported, now, |record| {
+            self.change(digest, at, FindingSource::Reported, now, |record| {
                 record.record_seen(at)
             });
         }
@@ -124,7 +130,7 @@
         let is_due = self.verdict(digest, now) == CrashVerdict::TrialDue;
         if is_due {
             let at = PastTime::at(now);
-            self.change(digest, at, MarkSource::Reported, now, |record| {
+            self.change(digest, at, FindingSource::Reported, now, |record| {
                 record.record_trial(at);
                 true
             });
@@ -136,7 +142,7 @@
     pub fn merge(
         &mut self,
         reports: &[CrashReport],
-        source: MarkSource,
+        source: FindingSource,
         now: Duration,
     ) -> Vec<(RequestDigest, VerdictChange)> {
         let changes = reports.iter().filter_map(|report| {
@@ -157,7 +163,7 @@
         &mut self,
         digest: RequestDigest,
         seen: PastTime,
-        source: MarkSource,
+        source: FindingSource,
         now: Duration,
         change: impl FnOnce(&mut CrashRecord) -> bool,
     ) -> Option<VerdictChange> {
@@ -196,14 +202,14 @@
     /// The records for all hosts that a peer lacks; `known` is the position up to which it received this tracker.
     pub fn updates_since(&self, known: CachePosition, now: Duration) -> CrashUpdates {
         // Includes excused crashes: a peer may have received them before they were excused.
-        let changed = self.records.since(known);
+        let changed = self.records.changed_since(known);
         let changed = changed.filter(|(_, record)| record.crash_count() >= MIN_CRASHES_TO_SHARE);
         let reports = changed
             .map(|(digest, record)| record.report(*digest, now))
             .collect();
         CrashUpdates {
-            place: self.place(),
-            marks: reports,
+            position: self.position(),
+            findings: reports,
         }
     }
 
@@ -226,7 +232,10 @@
     pub fn latest(&self, most: usize, now: Duration) -> Vec<CrashReport> {
         let mut latest: Vec<(&RequestDigest, &CrashRecord)> = self.records.iter().collect();
         latest.sort_by_key(|(digest, record)| {
-            Reverse((record.counted_crashes(), self.records.changed(digest)))
+            Reverse((
+                record.counted_crashes(),
+                self.records.changed_revision(digest),
+            ))
         });
         latest.truncate(most);
         let reports = latest.into_iter();
--- a/src/relay/policy/findings_cache.rs
+++ b/src/relay/policy/findings_cache.rs
@@ -12,36 +12,36 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct CachePosition {
     /// The random id that the cache got when its host created it; 0 for none.
-    pub book: u64,
+    pub cache_id: u64,
     /// The revision.
     pub revision: u64,
 }
 
 /// What a peer lacks of a cache.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct CacheUpdates<M> {
+pub struct CacheUpdates<F> {
     /// The position of the peer once it has received these updates.
-    pub place: CachePosition,
+    pub position: CachePosition,
     /// The findings that it lacked.
-    pub marks: Vec<M>,
+    pub findings: Vec<F>,
 }
 
-impl<M> Default for CacheUpdates<M> {
+impl<F> Default for CacheUpdates<F> {
     fn default() -> Self {
         Self {
-            place: CachePosition::default(),
-            marks: Vec::new(),
+            position: CachePosition::default(),
+            findings: Vec::new(),
         }
     }
 }
 
 /// The source of a finding.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum MarkSource {
+pub enum FindingSource {
     /// Observed by this host, or reported by a host that relies on this one to pass it on to others.
     Reported,
     /// Received from a host that sends it to all others itself.
-    Told,
+    Distributed,
 }
 
 #[derive(Debug)]
@@ -72,9 +72,9 @@
     }
 
     /// The position of a peer that has received everything.
-    pub fn place(&self) -> CachePosition {
+    pub fn position(&self) -> CachePosition {
         CachePosition {
-            book: self.id,
+            cache_id: self.id,
             revision: self.revision,
         }
     }
@@ -105,7 +105,7 @@
         &mut self,
         subject: K,
         create: impl FnOnce() -> V,
-        source: MarkSource,
+        source: FindingSource,
         now: Duration,
         change: impl FnOnce(&mut V) -> bool,
     ) -> bool {
@@ -123,7 +123,7 @@
         }
         self.revision += 1;
         entry.changed = self.revision;
-        if source == MarkSource::Reported {
+        if source == FindingSource::Reported {
             entry.reported = self.revision;
             entry.reported_at = now;
         }
@@ -142,8 +142,8 @@
     }
 
     /// The findings that changed since the position of a peer. A position in another cache counts as the start.
-    pub fn since(&self, known: CachePosition) -> impl Iterator<Item = (&K, &V)> {
-        let since = match known.book == self.id {
+    pub fn changed_since(&self, known: CachePosition) -> impl Iterator<Item = (&K, &V)> {
+        let since = match known.cache_id == self.id {
             true => known.revision,
             false => 0,
         };
@@ -173,7 +173,7 @@
     }
 
     /// The cache's revision at the last change of a finding; 0 if there is none.
-    pub fn changed(&self, subject: &K) -> u64 {
+    pub fn changed_revision(&self, subject: &K) -> u64 {
         self.entries.get(subject).map_or(0, |entry| entry.changed)
     }
 }
--- a/src/relay/policy/limit_updates.rs
+++ b/src/relay/policy/limit_updates.rs
@@ -5,7 +5,7 @@
 
 use {
     super::{
-        findings_cache::{CachePosition, CacheUpdates, FindingsCache, MarkSource},
+        findings_cache::{CachePosition, CacheUpdates, FindingSource, FindingsCache},
         limit_book::{LIMIT_TTL, LimitSaying},
         loads::EngineKey,
         server_limit::ServerLimit,
@@ -43,7 +43,7 @@
         &mut self,
         server: EngineKey,
         saying: LimitSaying,
-        source: MarkSource,
+        source: FindingSource,
         now: Duration,
     ) -> bool {
         let is_first = self.sayings.get(&server).is_none();
@@ -60,10 +60,10 @@
 
     /// The updates that a peer lacks which received this cache up to a position.
     pub fn since(&self, known: CachePosition, now: Duration) -> CacheUpdates<LimitUpdate> {
-        let marks = self.sayings.since(known);
+        let marks = self.sayings.changed_since(known);
         CacheUpdates {
-            place: self.sayings.place(),
-            marks: marks
+            position: self.sayings.position(),
+            findings: marks
                 .map(|(server, saying)| mark(*server, *saying, now))
                 .collect(),
         }
@@ -74,7 +74,7 @@
     pub fn reported_since(&self, revision: Option<u64>, now: Duration) -> (Vec<LimitUpdate>, u64) {
         let marks = self.sayings.reported_since(revision, now);
         let marks = marks.map(|(server, saying)| mark(*server, *saying, now));
-        (marks.collect(), self.sayings.place().revision)
+        (marks.collect(), self.sayings.position().revision)
     }
 
     /// Removes reports that are older than [`LIMIT_TTL`].
--- a/tests/fleet_sim/crashes.rs
+++ b/tests/fleet_sim/crashes.rs
@@ -3,7 +3,7 @@
 use {
     super::{PATIENCE, STEP, SimFleet, SimTrouble},
     bayplank::relay::{
-        CachePosition, CrashReport, CrashTracker, CrashVerdict, EngineKey, MarkSource,
+        CachePosition, CrashReport, CrashTracker, CrashVerdict, EngineKey, FindingSource,
         RequestDigest,
     },
     faststr::FastStr,
@@ -128,7 +128,7 @@
         let known = self.hosts[index].crashes.places.get(&from).copied();
         let book = &self.hosts[from].crashes.book;
         let news = book.updates_since(known.unwrap_or_default(), self.crash_now());
-        !news.marks.is_empty()
+        !news.findings.is_empty()
     }
 
     pub(super) fn take_crashes(&mut self, index: usize, from: usize) {
@@ -136,10 +136,12 @@
         let known = self.hosts[index].crashes.places.get(&from).copied();
         let teller = &mut self.hosts[from].crashes;
         let news = teller.book.updates_since(known.unwrap_or_default(), now);
-        teller.sent_bytes += bytes_of(&news.marks);
+        teller.sent_bytes += bytes_of(&news.findings);
         let crashes = &mut self.hosts[index].crashes;
-        crashes.book.merge(&news.marks, MarkSource::Told, now);
-        crashes.places.insert(from, news.place);
+        crashes
+            .book
+            .merge(&news.findings, FindingSource::Distributed, now);
+        crashes.places.insert(from, news.position);
     }
 
     pub(super) fn tell_crashes(&mut self, index: usize, trouble: &SimTrouble) {
@@ -212,7 +214,7 @@
             false => told,
         };
         let marks = crashes.book.reported_since(since, now);
-        let revision = crashes.book.place().revision;
+        let revision = crashes.book.position().revision;
         if marks.is_empty() {
             let told = &mut self.hosts[index].crashes.told;
             told.insert((name, is_zone), revision);
@@ -233,13 +235,13 @@
         }
         let is_head = other.choice.head(self.local_now(to)).is_none();
         let source = match is_zone && is_head {
-            true => MarkSource::Told,
-            false => MarkSource::Reported,
+            true => FindingSource::Distributed,
+            false => FindingSource::Reported,
         };
         let at = &mut self.hosts[to].crashes;
-        let before = at.book.place();
+        let before = at.book.position();
         at.book.merge(&marks, source, now);
-        if at.book.place() != before {
+        if at.book.position() != before {
             at.next_look = self.now;
         }
         let crashes = &mut self.hosts[index].crashes;
--- a/tests/relay_crash_innocents.rs
+++ b/tests/relay_crash_innocents.rs
@@ -11,7 +11,7 @@
         engine::EngineRole,
         relay::{
             BackendBook, BackendInfo, CachePosition, CrashTracker, CrashVerdict, EngineKey,
-            EngineLoad, MarkSource, RequestDigest,
+            EngineLoad, FindingSource, RequestDigest,
         },
     },
     rand::{RngExt, SeedableRng, rngs::StdRng},
@@ -321,13 +321,14 @@
         let now = time(self.now);
         for host in &mut self.hosts {
             let marks = host.crashes.reported_since(Some(host.sent_revision), now);
-            host.sent_revision = host.crashes.place().revision;
-            self.hub.merge(&marks, MarkSource::Reported, now);
+            host.sent_revision = host.crashes.position().revision;
+            self.hub.merge(&marks, FindingSource::Reported, now);
         }
         for host in &mut self.hosts {
             let news = self.hub.updates_since(host.place, now);
-            host.crashes.merge(&news.marks, MarkSource::Told, now);
-            host.place = news.place;
+            host.crashes
+                .merge(&news.findings, FindingSource::Distributed, now);
+            host.place = news.position;
         }
     }
 
--- a/tests/relay_crashes.rs
+++ b/tests/relay_crashes.rs
@@ -2,7 +2,7 @@
 
 use {
     bayplank::relay::{
-        CachePosition, CrashReport, CrashTracker, CrashVerdict, EngineKey, MarkSource,
+        CachePosition, CrashReport, CrashTracker, CrashVerdict, EngineKey, FindingSource,
         RequestDigest, VerdictChange,
     },
     bolero::check,
@@ -35,7 +35,7 @@
 
 // All records that a book would send to any host.
 fn all_marks(book: &CrashTracker, now: Duration) -> Vec<CrashReport> {
-    let mut marks = book.updates_since(CachePosition::default(), now).marks;
+    let mut marks = book.updates_since(CachePosition::default(), now).findings;
     marks.extend(book.reported_since(Some(0), now));
     marks
 }
@@ -71,7 +71,7 @@
         let mut other = CrashTracker::new(host);
         other.record_crash(FATAL, run(0), now);
         other.record_crash(FATAL, run(1), now);
-        book.merge(&all_marks(&other, now), MarkSource::Reported, now);
+        book.merge(&all_marks(&other, now), FindingSource::Reported, now);
     }
     assert_eq!(book.verdict(FATAL, now), CrashVerdict::Suspected(2));
 }
@@ -84,7 +84,7 @@
     assert_eq!(book.verdict(FATAL, now), CrashVerdict::Harmless);
     // The same crashes from a host that does not know that the request completed.
     let late = all_marks(&book_with_crashes(3, now), now);
-    book.merge(&late, MarkSource::Told, now);
+    book.merge(&late, FindingSource::Distributed, now);
     assert_eq!(book.verdict(FATAL, now), CrashVerdict::Harmless);
     book.record_crash(FATAL, run(9), now);
     assert_eq!(book.verdict(FATAL, now), CrashVerdict::Suspected(1));
@@ -118,16 +118,16 @@
     }
     let news = book.updates_since(CachePosition::default(), now);
     assert!(
-        news.marks.is_empty(),
+        news.findings.is_empty(),
         "a single crash is not sent to all hosts"
     );
     assert_eq!(book.reported_since(None, now).len(), 20);
     book.record_crash(RequestDigest(100), run(2), now);
-    let next = book.updates_since(news.place, now);
-    assert_eq!(next.marks.len(), 1);
-    assert!(book.updates_since(next.place, now).marks.is_empty());
+    let next = book.updates_since(news.position, now);
+    assert_eq!(next.findings.len(), 1);
+    assert!(book.updates_since(next.position, now).findings.is_empty());
     book.record_success(RequestDigest(100), now);
-    assert_eq!(book.updates_since(next.place, now).marks.len(), 1);
+    assert_eq!(book.updates_since(next.position, now).findings.len(), 1);
     let late_report = book.reported_since(None, now + seconds(31));
     assert!(
         late_report.is_empty(),
@@ -144,9 +144,9 @@
     for turn in 0..1_000 {
         let marks = all_marks(&books[turn % 2], now);
         now += Duration::from_micros(3_700);
-        let before = books[(turn + 1) % 2].place();
-        books[(turn + 1) % 2].merge(&marks, MarkSource::Reported, now);
-        changes += u32::from(books[(turn + 1) % 2].place() != before);
+        let before = books[(turn + 1) % 2].position();
+        books[(turn + 1) % 2].merge(&marks, FindingSource::Reported, now);
+        changes += u32::from(books[(turn + 1) % 2].position() != before);
     }
     assert_eq!(changes, 1);
 }
@@ -194,14 +194,14 @@
             // Messages arrive repeatedly, late and out of order.
             4 if !messages.is_empty() => {
                 let message = &messages[usize::from(*what) % messages.len()];
-                books[at].merge(message, MarkSource::Reported, now);
+                books[at].merge(message, FindingSource::Reported, now);
             }
             4 => {}
             // A restarted host receives the records of another one.
             _ => {
                 let received = all_marks(&books[(at + 1) % books.len()], now);
                 books[at] = CrashTracker::new(u64::from(*what) + 100);
-                books[at].merge(&received, MarkSource::Told, now);
+                books[at].merge(&received, FindingSource::Distributed, now);
             }
         }
     }
@@ -219,7 +219,7 @@
             for _ in 0..2 {
                 for (from, to) in (0..4).flat_map(|from| (0..4).rev().map(move |to| (from, to))) {
                     let marks = all_marks(&books[from], now);
-                    books[to].merge(&marks, MarkSource::Reported, now);
+                    books[to].merge(&marks, FindingSource::Reported, now);
                 }
             }
             for digest in (0..3).map(RequestDigest) {
@@ -242,7 +242,7 @@
     let first = book_with_crashes(3, seconds(10));
     let marks = all_marks(&first, seconds(10));
     for book in &mut books {
-        book.merge(&marks, MarkSource::Told, seconds(10));
+        book.merge(&marks, FindingSource::Distributed, seconds(10));
     }
     let mut sends = 0;
     for second in 11..7_200_u64 {
@@ -261,7 +261,7 @@
         }
         let told: Vec<CrashReport> = books.iter().flat_map(|book| all_marks(book, now)).collect();
         for book in &mut books {
-            book.merge(&told, MarkSource::Told, now);
+            book.merge(&told, FindingSource::Distributed, now);
         }
     }
     assert!(sends <= 3, "{sends} sends");
--- a/tests/relay_server_limits.rs
+++ b/tests/relay_server_limits.rs
@@ -2,7 +2,7 @@
 
 use {
     bayplank::relay::{
-        CachePosition, EngineKey, LimitBook, LimitMark, LimitSaying, LimitUpdates, MarkSource,
+        CachePosition, EngineKey, FindingSource, LimitBook, LimitMark, LimitSaying, LimitUpdates,
         PastTime, PermitAllocator, PermitGrant, PermitRequest, PermitState, ServerLimit,
     },
     bolero::check,
@@ -236,7 +236,7 @@
 #[test]
 fn only_the_start_and_the_end_of_a_limit_are_sent() {
     let mut updates = LimitUpdates::new(3);
-    let source = MarkSource::Reported;
+    let source = FindingSource::Reported;
     assert!(updates.note(SERVER, saying(Some(3.0), 10), source, NOW));
     assert!(
         !updates.note(SERVER, saying(Some(4.0), 20), source, NOW),
@@ -247,10 +247,10 @@
         "an older report"
     );
     let told = updates.since(CachePosition::default(), NOW);
-    assert_eq!(told.marks[0].limit, ServerLimit::new(4.0));
-    assert!(updates.since(told.place, NOW).marks.is_empty());
+    assert_eq!(told.findings[0].limit, ServerLimit::new(4.0));
+    assert!(updates.since(told.position, NOW).findings.is_empty());
     assert!(updates.note(SERVER, saying(None, 30), source, NOW));
-    assert_eq!(updates.since(told.place, NOW).marks[0].limit, None);
+    assert_eq!(updates.since(told.position, NOW).findings[0].limit, None);
 }
 
 /// A random event in a fleet of five hosts with one permit allocator.
