--- a/src/relay/news/limit_message.rs
+++ b/src/relay/news/limit_message.rs
@@ -5,7 +5,7 @@
     crate::{
         news_capnp::{limit_saying, limit_update, news_peer},
         relay::policy::{
-            limit_book::LimitSaying,
+            limit_book::ReportedLimit,
             limit_updates::LimitUpdate,
             loads::EngineKey,
             permit_allocator::{PermitGrant, PermitRequest},
@@ -43,7 +43,7 @@
     to.set_server(ask.server.0);
     to.set_wanted(u16::try_from(ask.wanted).unwrap_or(u16::MAX));
     to.set_rank(ask.rank);
-    write_saying(to.init_saying(), ask.saying.limit, ask.saying.age(now));
+    write_saying(to.init_saying(), ask.reported.limit, ask.reported.age(now));
 }
 
 /// Reads a question; what is not well formed is an error.
@@ -51,7 +51,7 @@
     let (limit, age) = read_saying(from.get_saying()?)?;
     Ok(PermitRequest {
         server: EngineKey(from.get_server()),
-        saying: LimitSaying::told(limit, age, now),
+        reported: ReportedLimit::from_age(limit, age, now),
         wanted: u32::from(from.get_wanted()),
         rank: from.get_rank(),
     })
@@ -65,7 +65,11 @@
 ) {
     to.set_permits(u16::try_from(grant.permits).unwrap_or(u16::MAX));
     to.set_wait_ms(message::to_ms(Some(grant.wait)));
-    write_saying(to.init_saying(), grant.saying.limit, grant.saying.age(now));
+    write_saying(
+        to.init_saying(),
+        grant.reported.limit,
+        grant.reported.age(now),
+    );
 }
 
 /// Reads an answer; what is not well formed is an error.
@@ -74,7 +78,7 @@
     Ok(PermitGrant {
         permits: u32::from(from.get_permits()),
         wait: Duration::from_millis(u64::from(from.get_wait_ms())),
-        saying: LimitSaying::told(limit, age, now),
+        reported: ReportedLimit::from_age(limit, age, now),
     })
 }
 
--- a/src/relay/news/permits.rs
+++ b/src/relay/news/permits.rs
@@ -89,7 +89,7 @@
 
     fn may_ask(&self) -> bool {
         let now = self.parts.now();
-        self.parts.permits.owners.borrow_mut().may_ask(now)
+        self.parts.permits.owners.borrow_mut().may_request(now)
     }
 
     async fn ask_owner(
@@ -104,16 +104,16 @@
         let mut owners = self.parts.permits.owners.borrow_mut();
         match answer {
             Ok(grant) => {
-                owners.note_heard(&owner.name);
+                owners.record_response(&owner.name);
                 if grant.permits == 0 && ask.wanted > 0 {
-                    owners.note_denied();
+                    owners.record_denial();
                 }
                 Some(grant)
             }
             Err(error) => {
                 log::debug!("host {} allocated no permit: {error}", owner.name);
                 let is_gone = error.kind == ErrorKind::Disconnected;
-                owners.note_silent(&owner.name, is_gone, self.parts.now());
+                owners.record_no_response(&owner.name, is_gone, self.parts.now());
                 None
             }
         }
@@ -132,6 +132,6 @@
     PermitGrant {
         permits: 0,
         wait: UNASKED_WAIT,
-        saying: ask.saying,
+        reported: ask.reported,
     }
 }
--- a/src/relay/parts/permits.rs
+++ b/src/relay/parts/permits.rs
@@ -70,9 +70,9 @@
     /// Forgets permits that nobody asks for, and hosts that are listed no longer.
     pub(super) fn forget_old(&self, is_listed: impl Fn(&FastStr) -> bool, now: Duration) {
         for allocator in [&self.allocator, &self.alone] {
-            allocator.borrow_mut().forget_old(now);
+            allocator.borrow_mut().remove_expired(now);
         }
-        self.owners.borrow_mut().keep_listed(is_listed);
+        self.owners.borrow_mut().retain_listed(is_listed);
     }
 }
 
@@ -95,7 +95,11 @@
     fn drop(&mut self) {
         if let Some(server) = self.server.take() {
             let now = self.parts.now();
-            self.parts.book.borrow_mut().limits.give_back(server, now);
+            self.parts
+                .book
+                .borrow_mut()
+                .limits
+                .return_permit(server, now);
         }
     }
 }
@@ -113,7 +117,7 @@
             let now = self.now();
             let state = self.book.borrow().limits.permit(server, rank, now);
             match state {
-                PermitState::Free => return Ok(self.permit_at(None)),
+                PermitState::Unlimited => return Ok(self.permit_at(None)),
                 PermitState::Held => {
                     let is_used = self.book.borrow_mut().limits.use_permit(server, now);
                     assert!(
@@ -122,9 +126,9 @@
                     );
                     return Ok(self.permit_at(Some(server)));
                 }
-                PermitState::Empty(time) => return Err(PermitWait { server, time }),
-                PermitState::Ask if has_asked => break,
-                PermitState::Ask => self.request_permit(backend, rank).await,
+                PermitState::Denied(time) => return Err(PermitWait { server, time }),
+                PermitState::MustRequest if has_asked => break,
+                PermitState::MustRequest => self.request_permit(backend, rank).await,
             }
         }
         let time = Duration::ZERO;
@@ -140,25 +144,29 @@
 
     async fn request_permit(&self, backend: &BackendInfo, rank: u8) {
         let server = backend.key();
-        let ask = self.book.borrow().limits.ask(server, rank, self.now());
+        let ask = self
+            .book
+            .borrow()
+            .limits
+            .permit_request(server, rank, self.now());
         let Some(ask) = ask else { return };
         let grant = match self.permits.call() {
             Some(call) => call(backend.zone.clone(), ask).await,
             None => self.allocate_share(&ask),
         };
-        self.take_limit(backend, grant.saying, "host");
+        self.take_limit(backend, grant.reported, "host");
         let now = self.now();
         let mut book = self.book.borrow_mut();
-        book.limits.take_grant(server, rank, &grant, now);
+        book.limits.apply_grant(server, rank, &grant, now);
     }
 
     /// Allocates permits to all hosts. What their answers said this host then knows as well.
     pub fn allocate_permits(&self, ask: &PermitRequest) -> PermitGrant {
         let now = self.now();
-        let grant = self.permits.allocator.borrow_mut().deal(ask, now);
+        let grant = self.permits.allocator.borrow_mut().allocate(ask, now);
         let mut book = self.book.borrow_mut();
         if book.limits.limit(ask.server).is_some() {
-            book.limits.take(ask.server, grant.saying, now);
+            book.limits.update(ask.server, grant.reported, now);
         }
         grant
     }
@@ -166,7 +174,7 @@
     /// Allocates permits to this host alone, which reaches nobody who allocates them for all.
     pub fn allocate_alone(&self, ask: &PermitRequest) -> PermitGrant {
         let mut allocator = self.permits.alone.borrow_mut();
-        allocator.allocate_alone(ask, self.sharing_hosts(), rand::random(), self.now())
+        allocator.allocate_isolated(ask, self.sharing_hosts(), rand::random(), self.now())
     }
 
     // The same where no host allocates them for all, as on the own interface.
@@ -199,7 +207,7 @@
     // Other hosts that are listed, less those that are gone for sure.
     fn others_left(&self) -> usize {
         let others = self.cluster.borrow().host_count() - 1;
-        others.saturating_sub(self.permits.owners.borrow().gone())
+        others.saturating_sub(self.permits.owners.borrow().down_count())
     }
 
     /// The refusal of a request for which rate-limited servers have no permit before a time is over.
@@ -210,7 +218,7 @@
         wait: PermitWait,
     ) -> Refusal {
         self.metrics.held_back(service);
-        self.book.borrow_mut().limits.note_sent_away(wait.server);
+        self.book.borrow_mut().limits.record_rejection(wait.server);
         let spread = rand::random_range(1.0..=1.0 + WAIT_SPREAD);
         let text = format!(
             "the servers of {service} that could take it name how much they take, and no permit is left"
--- a/src/relay/parts/server_limits.rs
+++ b/src/relay/parts/server_limits.rs
@@ -8,7 +8,7 @@
             backend::BackendInfo,
             policy::{
                 findings_cache::{CachePosition, CacheUpdates, FindingSource},
-                limit_book::LimitSaying,
+                limit_book::ReportedLimit,
                 limit_updates::{LimitUpdate, LimitUpdates},
                 loads::EngineKey,
                 permit_allocator::PermitRequest,
@@ -107,7 +107,7 @@
             (LimitMark::Unsaid, AnswerKind::Other) => return,
         };
         let age = self.now().saturating_sub(sent);
-        let saying = LimitSaying::told(limit, age, self.now());
+        let saying = ReportedLimit::from_age(limit, age, self.now());
         let was_limited = self.take_limit(backend, saying, "answer");
         if was_limited && limit.is_none() {
             self.tell_end(backend, saying);
@@ -124,7 +124,7 @@
     pub(super) fn take_limit(
         &self,
         backend: &BackendInfo,
-        saying: LimitSaying,
+        saying: ReportedLimit,
         from: &str,
     ) -> bool {
         let now = self.now();
@@ -136,7 +136,7 @@
         if !was_limited && saying.limit.is_none() {
             return false;
         }
-        let shown = book.limits.take(backend.key(), saying, now);
+        let shown = book.limits.update(backend.key(), saying, now);
         drop(book);
         self.note_for_others(backend, saying);
         if !was_limited {
@@ -148,9 +148,9 @@
         was_limited
     }
 
-    fn note_for_others(&self, backend: &BackendInfo, saying: LimitSaying) {
+    fn note_for_others(&self, backend: &BackendInfo, saying: ReportedLimit) {
         let mut news = self.limits.news.borrow_mut();
-        if news.note(backend.key(), saying, FindingSource::Reported, self.now()) {
+        if news.record(backend.key(), saying, FindingSource::Reported, self.now()) {
             self.reported.notify_one();
             self.news.notify_waiters();
         }
@@ -159,7 +159,7 @@
     fn show_limit(
         &self,
         backend: &BackendInfo,
-        saying: LimitSaying,
+        saying: ReportedLimit,
         before: Option<ServerLimit>,
         from: &str,
     ) {
@@ -178,7 +178,7 @@
     }
 
     // Whoever allocates the permits there hears it from this host only if it asks, which it has no reason to do any more.
-    fn tell_end(&self, backend: &BackendInfo, saying: LimitSaying) {
+    fn tell_end(&self, backend: &BackendInfo, saying: ReportedLimit) {
         let Some(call) = self.permits.call() else {
             return;
         };
@@ -186,7 +186,7 @@
             backend.zone.clone(),
             PermitRequest {
                 server: backend.key(),
-                saying,
+                reported: saying,
                 wanted: 0,
                 rank: u8::MAX,
             },
@@ -220,13 +220,17 @@
         let mut shown = BTreeMap::new();
         let mut has_news = false;
         for mark in marks {
-            let saying = LimitSaying::told(mark.limit, mark.age, now);
-            let taken = self.book.borrow_mut().limits.take(mark.server, saying, now);
+            let saying = ReportedLimit::from_age(mark.limit, mark.age, now);
+            let taken = self
+                .book
+                .borrow_mut()
+                .limits
+                .update(mark.server, saying, now);
             if let Some(before) = taken {
                 shown.insert(mark.server, (saying, before));
             }
             let mut news = self.limits.news.borrow_mut();
-            has_news |= news.note(mark.server, saying, source, now);
+            has_news |= news.record(mark.server, saying, source, now);
         }
         self.show_told(&shown);
         if has_news {
@@ -242,7 +246,7 @@
     }
 
     // One line each, but for many at once.
-    fn show_told(&self, shown: &BTreeMap<EngineKey, (LimitSaying, Option<ServerLimit>)>) {
+    fn show_told(&self, shown: &BTreeMap<EngineKey, (ReportedLimit, Option<ServerLimit>)>) {
         let listed = match shown.is_empty() {
             true => return,
             false => self.book.borrow().listed(&shown.keys().copied().collect()),
@@ -302,8 +306,8 @@
         let cluster = self.cluster.borrow();
         let is_listed = |name: &FastStr| cluster.hosts().any(|entry| entry.name == *name);
         self.permits.forget_old(is_listed, self.now());
-        let gone = self.book.borrow_mut().limits.forget_old(self.now());
-        self.limits.news.borrow_mut().forget_old(self.now());
+        let gone = self.book.borrow_mut().limits.remove_expired(self.now());
+        self.limits.news.borrow_mut().remove_expired(self.now());
         if !gone.is_empty() {
             log::info!("{} limits of servers were not heard for long", gone.len());
         }
--- a/src/relay/parts/shared.rs
+++ b/src/relay/parts/shared.rs
@@ -21,8 +21,9 @@
             belief::cluster::ClusterState,
             dialect::{BackendCall, CallDialect},
             policy::{
-                book::BackendBook, budget::WindowBudget, kept::KeptPrompts, limit_book::LimitBook,
-                line::WaitLine, route::RouteTable, view::BackendFailure, waited::CallerWaits,
+                book::BackendBook, budget::WindowBudget, kept::KeptPrompts,
+                limit_book::LimitTracker, line::WaitLine, route::RouteTable, view::BackendFailure,
+                waited::CallerWaits,
             },
             settings::RelaySettings,
         },
@@ -116,7 +117,7 @@
         let book_id = rand::random_range(1..=u64::MAX);
         let zone = settings.zone.clone();
         let mut book = BackendBook::default();
-        book.limits = LimitBook::new(&settings.name);
+        book.limits = LimitTracker::new(&settings.name);
         let ledger = ZoneLedger::new(ledger_id, zone, settings.bounds.limits, Duration::ZERO);
         Rc::new(Self {
             settings,
--- a/src/relay/policy/book.rs
+++ b/src/relay/policy/book.rs
@@ -6,7 +6,7 @@
     super::{
         availability::AvailabilityBook,
         changes::BackendChanges,
-        limit_book::{LimitBook, PermitState, PermitWait},
+        limit_book::{LimitTracker, PermitState, PermitWait},
         loads::{EngineKey, EngineLoad},
         view::{BackendFailure, BackendView, EJECT_FIRST, FAILURES_TO_EJECT},
     },
@@ -77,7 +77,7 @@
     // Prompt tokens a second that prefill engines were seen to compute at best.
     pub(super) prefill_rate: f64,
     /// Those that name a limit.
-    pub limits: LimitBook,
+    pub limits: LimitTracker,
     /// Those that are leaving, or asked this host to back off.
     pub availability: AvailabilityBook,
 }
@@ -89,7 +89,7 @@
             next_call: 0,
             others_at: None,
             prefill_rate: PREFILL_RATE,
-            limits: LimitBook::default(),
+            limits: LimitTracker::default(),
             availability: AvailabilityBook::default(),
         }
     }
@@ -210,10 +210,10 @@
         ranked.retain(|info| {
             let server = info.key();
             match self.limits.permit(server, wish.rank, now) {
-                PermitState::Free => true,
-                PermitState::Held | PermitState::Ask => !wish.needs_no_permit,
-                PermitState::Empty(time) => {
-                    wait = Some(PermitWait::least(wait, PermitWait { server, time }));
+                PermitState::Unlimited => true,
+                PermitState::Held | PermitState::MustRequest => !wish.needs_no_permit,
+                PermitState::Denied(time) => {
+                    wait = Some(PermitWait::shorter(wait, PermitWait { server, time }));
                     false
                 }
             }
@@ -242,7 +242,7 @@
         let is_empty = |view: &&BackendView| {
             matches!(
                 self.limits.permit(view.key, rank, now),
-                PermitState::Empty(_)
+                PermitState::Denied(_)
             )
         };
         let views = self.usable(service, now).filter(is_empty);
--- a/src/relay/policy/engines.rs
+++ b/src/relay/policy/engines.rs
@@ -90,10 +90,10 @@
         let mut least = None;
         for view in self.engines(service, EngineRole::Decode, now) {
             let server = view.key;
-            let PermitState::Empty(time) = self.limits.permit(server, rank, now) else {
+            let PermitState::Denied(time) = self.limits.permit(server, rank, now) else {
                 return None;
             };
-            least = Some(PermitWait::least(least, PermitWait { server, time }));
+            least = Some(PermitWait::shorter(least, PermitWait { server, time }));
         }
         least
     }
--- a/src/relay/policy/limit_book.rs
+++ b/src/relay/policy/limit_book.rs
@@ -45,25 +45,25 @@
 
 /// The limit that a server reported, and the time from which it is known to apply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LimitSaying {
+pub struct ReportedLimit {
     /// The limit; `None` if the server reported none.
     pub limit: Option<ServerLimit>,
     /// When the request was sent whose response reported it. Of two responses, the one to the later request is the
     /// newer one, whichever is read first.
-    pub said: PastTime,
+    pub as_of: PastTime,
 }
 
 /// Whether a request may be sent to a server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum PermitState {
     /// The server is not rate-limited.
-    Free,
+    Unlimited,
     /// The server is rate-limited, and this host holds a permit.
     Held,
     /// The server is rate-limited, and the owner of its permits must be asked.
-    Ask,
+    MustRequest,
     /// No permit is available; one is likely after this time.
-    Empty(Duration),
+    Denied(Duration),
 }
 
 /// The time until a permit for a server is likely.
@@ -77,7 +77,7 @@
 
 impl PermitWait {
     /// The shorter of two waits.
-    pub fn least(one: Option<Self>, other: Self) -> Self {
+    pub fn shorter(one: Option<Self>, other: Self) -> Self {
         match one {
             Some(one) if one.time <= other.time => one,
             _ => other,
@@ -97,7 +97,7 @@
 // The state of a rate-limited server.
 #[derive(Debug, Clone)]
 struct KnownLimit {
-    saying: LimitSaying,
+    reported: ReportedLimit,
     limit: ServerLimit,
     // The limit last reported to operators, and when.
     shown: ServerLimit,
@@ -114,9 +114,9 @@
 }
 
 impl KnownLimit {
-    fn new(saying: LimitSaying, limit: ServerLimit, now: Duration) -> Self {
+    fn new(reported: ReportedLimit, limit: ServerLimit, now: Duration) -> Self {
         Self {
-            saying,
+            reported,
             limit,
             shown: limit,
             shown_at: now,
@@ -130,12 +130,12 @@
         }
     }
 
-    fn take(&mut self, saying: LimitSaying, limit: ServerLimit) {
+    fn update(&mut self, reported: ReportedLimit, limit: ServerLimit) {
         // A higher limit may have permits for requests that were denied.
         if limit > self.limit {
             self.denial = None;
         }
-        (self.saying, self.limit) = (saying, limit);
+        (self.reported, self.limit) = (reported, limit);
     }
 
     fn held(&self, now: Duration) -> u32 {
@@ -150,7 +150,7 @@
             .filter(|denial| now < denial.until && rank >= denial.rank)
     }
 
-    fn note_used(&mut self, now: Duration) {
+    fn record_use(&mut self, now: Duration) {
         let passed = now.saturating_sub(self.period_start);
         if passed >= PREFETCH_PERIOD {
             self.previous_used = if passed < PREFETCH_PERIOD * 2 {
@@ -167,14 +167,14 @@
 
 /// The rate-limited servers, and the permits that this host holds for them.
 #[derive(Debug, Default)]
-pub struct LimitBook {
+pub struct LimitTracker {
     // Differs between hosts.
     seed: u64,
     limits: BTreeMap<EngineKey, KnownLimit>,
 }
 
-impl LimitBook {
-    /// An empty book for the host of this name.
+impl LimitTracker {
+    /// An empty tracker for the host of this name.
     pub fn new(host: &str) -> Self {
         Self {
             seed: xxh3::xxh3_64(host.as_bytes()),
@@ -207,7 +207,7 @@
             REMOTE_PROBE_INTERVAL
         };
         match known.is_own {
-            _ if known.saying.age(now) >= probe_interval => 0,
+            _ if known.reported.age(now) >= probe_interval => 0,
             true => 1,
             false => xxh3::xxh3_64_with_seed(&server.0.to_le_bytes(), self.seed).max(2),
         }
@@ -222,7 +222,7 @@
     /// no limit.
     pub fn age(&self, server: EngineKey, now: Duration) -> Duration {
         let known = self.limits.get(&server);
-        known.map_or(Duration::ZERO, |known| known.saying.age(now))
+        known.map_or(Duration::ZERO, |known| known.reported.age(now))
     }
 
     /// The number of permits that this host holds for a server.
@@ -242,27 +242,27 @@
 
     /// Records what a server reported, read from its response or received from another host. If the change should be
     /// reported to operators, returns the limit last reported to them.
-    pub fn take(
+    pub fn update(
         &mut self,
         server: EngineKey,
-        saying: LimitSaying,
+        reported: ReportedLimit,
         now: Duration,
     ) -> Option<Option<ServerLimit>> {
         let Some(known) = self.limits.get_mut(&server) else {
-            let limit = saying.limit?;
+            let limit = reported.limit?;
             self.limits
-                .insert(server, KnownLimit::new(saying, limit, now));
+                .insert(server, KnownLimit::new(reported, limit, now));
             return Some(None);
         };
-        if known.saying.said > saying.said {
+        if known.reported.as_of > reported.as_of {
             return None;
         }
         let shown = known.shown;
-        let Some(limit) = saying.limit else {
+        let Some(limit) = reported.limit else {
             self.limits.remove(&server);
             return Some(Some(shown));
         };
-        known.take(saying, limit);
+        known.update(reported, limit);
         let is_due = now.saturating_sub(known.shown_at) >= SHOW_INTERVAL;
         if limit == shown || !is_due {
             return None;
@@ -274,14 +274,14 @@
     /// Whether a request of a priority rank may be sent to a server now.
     pub fn permit(&self, server: EngineKey, rank: u8, now: Duration) -> PermitState {
         let Some(known) = self.limits.get(&server) else {
-            return PermitState::Free;
+            return PermitState::Unlimited;
         };
         if known.held(now) > 0 {
             return PermitState::Held;
         }
         match known.denial(rank, now) {
-            Some(denial) => PermitState::Empty(denial.retry_at.saturating_sub(now).min(MAX_WAIT)),
-            None => PermitState::Ask,
+            Some(denial) => PermitState::Denied(denial.retry_at.saturating_sub(now).min(MAX_WAIT)),
+            None => PermitState::MustRequest,
         }
     }
 
@@ -294,12 +294,12 @@
             return false;
         }
         known.held -= 1;
-        known.note_used(now);
+        known.record_use(now);
         true
     }
 
     /// Returns a permit for which no request was sent, so that the next request can use it.
-    pub fn give_back(&mut self, server: EngineKey, now: Duration) {
+    pub fn return_permit(&mut self, server: EngineKey, now: Duration) {
         if let Some(known) = self.limits.get_mut(&server) {
             known.held = known.held(now) + 1;
             known.held_until = known.held_until.max(now + PERMIT_TTL);
@@ -308,7 +308,12 @@
 
     /// The permit request to send to the owner of a server's permits for a request of a priority rank; `None` if the
     /// server is not rate-limited.
-    pub fn ask(&self, server: EngineKey, rank: u8, now: Duration) -> Option<PermitRequest> {
+    pub fn permit_request(
+        &self,
+        server: EngineKey,
+        rank: u8,
+        now: Duration,
+    ) -> Option<PermitRequest> {
         let known = self.limits.get(&server)?;
         let is_recent = now.saturating_sub(known.period_start) < PREFETCH_PERIOD * 2;
         let used = if is_recent {
@@ -318,14 +323,14 @@
         };
         Some(PermitRequest {
             server,
-            saying: known.saying,
+            reported: known.reported,
             wanted: used.clamp(1, MAX_PERMITS),
             rank,
         })
     }
 
-    /// Applies the owner's response. The server's limit in it is not applied here but passed to [`LimitBook::take`].
-    pub fn take_grant(&mut self, server: EngineKey, rank: u8, grant: &PermitGrant, now: Duration) {
+    /// Applies the owner's response. The server's limit in it is not applied here but passed to [`LimitTracker::update`].
+    pub fn apply_grant(&mut self, server: EngineKey, rank: u8, grant: &PermitGrant, now: Duration) {
         let Some(known) = self.limits.get_mut(&server) else {
             return;
         };
@@ -343,7 +348,7 @@
     }
 
     /// Records that a caller was rejected for lack of a permit, so that the next one gets a later retry time.
-    pub fn note_sent_away(&mut self, server: EngineKey) {
+    pub fn record_rejection(&mut self, server: EngineKey) {
         let Some(known) = self.limits.get_mut(&server) else {
             return;
         };
@@ -354,8 +359,8 @@
     }
 
     /// Removes limits that have not been confirmed within [`LIMIT_TTL`]; returns their servers.
-    pub fn forget_old(&mut self, now: Duration) -> Vec<EngineKey> {
-        let is_expired = |known: &KnownLimit| known.saying.age(now) >= LIMIT_TTL;
+    pub fn remove_expired(&mut self, now: Duration) -> Vec<EngineKey> {
+        let is_expired = |known: &KnownLimit| known.reported.age(now) >= LIMIT_TTL;
         let limits = self.limits.iter();
         let expired: Vec<EngineKey> = limits
             .filter(|(_, known)| is_expired(known))
--- a/src/relay/policy/limit_updates.rs
+++ b/src/relay/policy/limit_updates.rs
@@ -6,7 +6,7 @@
 use {
     super::{
         findings_cache::{CachePosition, CacheUpdates, FindingSource, FindingsCache},
-        limit_book::{LIMIT_TTL, LimitSaying},
+        limit_book::{LIMIT_TTL, ReportedLimit},
         loads::EngineKey,
         server_limit::ServerLimit,
     },
@@ -27,44 +27,44 @@
 /// The latest report of each server, with the positions needed to send only what a peer lacks.
 #[derive(Debug)]
 pub struct LimitUpdates {
-    sayings: FindingsCache<EngineKey, LimitSaying>,
+    limits: FindingsCache<EngineKey, ReportedLimit>,
 }
 
 impl LimitUpdates {
     /// An empty cache; `id` is a random number that identifies it to other hosts.
     pub fn new(id: u64) -> Self {
         Self {
-            sayings: FindingsCache::new(id),
+            limits: FindingsCache::new(id),
         }
     }
 
     /// Records what a server reported; returns whether other hosts need to know.
-    pub fn note(
+    pub fn record(
         &mut self,
         server: EngineKey,
-        saying: LimitSaying,
+        reported: ReportedLimit,
         source: FindingSource,
         now: Duration,
     ) -> bool {
-        let is_first = self.sayings.get(&server).is_none();
-        let begin = || saying;
-        self.sayings.change(server, begin, source, now, |known| {
-            if saying.said < known.said {
+        let is_first = self.limits.get(&server).is_none();
+        let create = || reported;
+        self.limits.change(server, create, source, now, |known| {
+            if reported.as_of < known.as_of {
                 return false;
             }
-            let is_transition = known.limit.is_some() != saying.limit.is_some();
-            *known = saying;
+            let is_transition = known.limit.is_some() != reported.limit.is_some();
+            *known = reported;
             is_first || is_transition
         })
     }
 
     /// The updates that a peer lacks which received this cache up to a position.
     pub fn since(&self, known: CachePosition, now: Duration) -> CacheUpdates<LimitUpdate> {
-        let marks = self.sayings.changed_since(known);
+        let changes = self.limits.changed_since(known);
         CacheUpdates {
-            position: self.sayings.position(),
-            findings: marks
-                .map(|(server, saying)| mark(*server, *saying, now))
+            position: self.limits.position(),
+            findings: changes
+                .map(|(server, reported)| to_update(*server, *reported, now))
                 .collect(),
         }
     }
@@ -72,21 +72,21 @@
     /// The changes after a revision that are reported to an aggregating or distributing host, and the revision that
     /// includes them.
     pub fn reported_since(&self, revision: Option<u64>, now: Duration) -> (Vec<LimitUpdate>, u64) {
-        let marks = self.sayings.reported_since(revision, now);
-        let marks = marks.map(|(server, saying)| mark(*server, *saying, now));
-        (marks.collect(), self.sayings.position().revision)
+        let changes = self.limits.reported_since(revision, now);
+        let changes = changes.map(|(server, reported)| to_update(*server, *reported, now));
+        (changes.collect(), self.limits.position().revision)
     }
 
     /// Removes reports that are older than [`LIMIT_TTL`].
-    pub fn forget_old(&mut self, now: Duration) {
-        self.sayings.retain(|_, known| known.age(now) < LIMIT_TTL);
+    pub fn remove_expired(&mut self, now: Duration) {
+        self.limits.retain(|_, known| known.age(now) < LIMIT_TTL);
     }
 }
 
-fn mark(server: EngineKey, saying: LimitSaying, now: Duration) -> LimitUpdate {
+fn to_update(server: EngineKey, reported: ReportedLimit, now: Duration) -> LimitUpdate {
     LimitUpdate {
         server,
-        limit: saying.limit,
-        age: saying.age(now),
+        limit: reported.limit,
+        age: reported.age(now),
     }
 }
--- a/src/relay/policy/permit_allocator.rs
+++ b/src/relay/policy/permit_allocator.rs
@@ -6,7 +6,7 @@
 
 use {
     super::{
-        limit_book::LimitSaying, loads::EngineKey, past_time::PastTime, server_limit::ServerLimit,
+        limit_book::ReportedLimit, loads::EngineKey, past_time::PastTime, server_limit::ServerLimit,
     },
     crate::account::{BucketRate, RateBucket},
     std::{collections::BTreeMap, time::Duration},
@@ -50,7 +50,7 @@
     /// The server.
     pub server: EngineKey,
     /// The server's limit as known to the requesting host.
-    pub saying: LimitSaying,
+    pub reported: ReportedLimit,
     /// The number of permits that the requesting host can use; 0 if it only passes on the server's limit.
     pub wanted: u32,
     /// The priority rank of the request; 0 is the most urgent.
@@ -65,12 +65,12 @@
     /// If none was granted, the time until one is likely.
     pub wait: Duration,
     /// The server's limit as known to the owner.
-    pub saying: LimitSaying,
+    pub reported: ReportedLimit,
 }
 
 #[derive(Debug)]
 struct ServerPermits {
-    saying: LimitSaying,
+    reported: ReportedLimit,
     bucket: RateBucket,
     started: Duration,
     last_request: Duration,
@@ -86,15 +86,15 @@
 
 impl PermitAllocator {
     /// Allocates permits to all hosts.
-    pub fn deal(&mut self, ask: &PermitRequest, now: Duration) -> PermitGrant {
-        self.allocate_fraction(ask, 1.0, 1.0, now)
+    pub fn allocate(&mut self, request: &PermitRequest, now: Duration) -> PermitGrant {
+        self.allocate_fraction(request, 1.0, 1.0, now)
     }
 
     /// Allocates permits to this host while it reaches no owner, as a fraction of an equal share between `hosts` hosts.
     /// `level` is a random number from 0 to 1, so that hosts that are partitioned at once do not all send at once.
-    pub fn allocate_alone(
+    pub fn allocate_isolated(
         &mut self,
-        ask: &PermitRequest,
+        request: &PermitRequest,
         hosts: usize,
         level: f64,
         now: Duration,
@@ -104,46 +104,48 @@
         } else {
             PARTITIONED_FRACTION / hosts as f64
         };
-        self.allocate_fraction(ask, fraction, level, now)
+        self.allocate_fraction(request, fraction, level, now)
     }
 
     /// Allocates permits to one of `hosts` hosts that all reach each other and use an equal share each.
     pub fn allocate_share(
         &mut self,
-        ask: &PermitRequest,
+        request: &PermitRequest,
         hosts: usize,
         level: f64,
         now: Duration,
     ) -> PermitGrant {
-        self.allocate_fraction(ask, 1.0 / hosts.max(1) as f64, level, now)
+        self.allocate_fraction(request, 1.0 / hosts.max(1) as f64, level, now)
     }
 
     // Allocates from this host's fraction of the server's limit.
     fn allocate_fraction(
         &mut self,
-        ask: &PermitRequest,
+        request: &PermitRequest,
         fraction: f64,
         level: f64,
         now: Duration,
     ) -> PermitGrant {
         let servers = &mut self.servers;
-        let state = servers.entry(ask.server).or_insert_with(|| ServerPermits {
-            saying: ask.saying,
-            bucket: initial_bucket(ask.saying.limit, fraction, level, now),
-            started: now,
-            last_request: now,
-            most_urgent: (ask.rank, now),
-        });
-        state.take_saying(ask.saying, fraction, level, now);
+        let state = servers
+            .entry(request.server)
+            .or_insert_with(|| ServerPermits {
+                reported: request.reported,
+                bucket: initial_bucket(request.reported.limit, fraction, level, now),
+                started: now,
+                last_request: now,
+                most_urgent: (request.rank, now),
+            });
+        state.update_limit(request.reported, fraction, level, now);
         state.last_request = now;
-        match state.saying.limit {
-            Some(limit) => state.deal(limit, ask, fraction, now),
-            None => state.grant(ask.wanted, Duration::ZERO),
+        match state.reported.limit {
+            Some(limit) => state.allocate(limit, request, fraction, now),
+            None => state.grant(request.wanted, Duration::ZERO),
         }
     }
 
     /// Removes servers for which no host has requested permits within [`SERVER_TTL`].
-    pub fn forget_old(&mut self, now: Duration) {
+    pub fn remove_expired(&mut self, now: Duration) {
         self.servers
             .retain(|_, state| now.saturating_sub(state.last_request) < SERVER_TTL);
     }
@@ -180,21 +182,21 @@
 }
 
 impl ServerPermits {
-    fn take_saying(&mut self, saying: LimitSaying, fraction: f64, level: f64, now: Duration) {
-        if saying.said <= self.saying.said {
+    fn update_limit(&mut self, reported: ReportedLimit, fraction: f64, level: f64, now: Duration) {
+        if reported.as_of <= self.reported.as_of {
             return;
         }
         // Until a server is rate-limited again, it gets requests without permits.
-        if self.saying.limit.is_none() && saying.limit.is_some() {
-            self.bucket = initial_bucket(saying.limit, fraction, level, now);
+        if self.reported.limit.is_none() && reported.limit.is_some() {
+            self.bucket = initial_bucket(reported.limit, fraction, level, now);
         }
-        self.saying = saying;
+        self.reported = reported;
     }
 
-    fn deal(
+    fn allocate(
         &mut self,
         limit: ServerLimit,
-        ask: &PermitRequest,
+        request: &PermitRequest,
         fraction: f64,
         now: Duration,
     ) -> PermitGrant {
@@ -203,7 +205,7 @@
             false => 1.0,
         };
         let full = rate_and_burst(limit, fraction * takeover_fraction);
-        let available = match self.is_less_urgent(ask.rank, now) {
+        let available = match self.is_less_urgent(request.rank, now) {
             true => BucketRate {
                 burst: full.burst * LESS_URGENT_FRACTION,
                 ..full
@@ -212,14 +214,14 @@
         };
         // Permits allocated at a higher limit are not deducted at a lower one.
         self.bucket.cap(full.burst + 1.0);
-        if ask.wanted == 0 {
+        if request.wanted == 0 {
             return self.grant(0, Duration::ZERO);
         }
         if let Err(wait) = self.bucket.take(1.0, available, now) {
             return self.grant(0, wait);
         }
         let spare = full.burst * SPARE_FRACTION - self.bucket.level();
-        let extra = (spare.max(0.0) as u32).min(ask.wanted - 1);
+        let extra = (spare.max(0.0) as u32).min(request.wanted - 1);
         self.bucket.add(f64::from(extra));
         assert!(
             self.bucket.level() <= full.burst + 1.0,
@@ -241,23 +243,23 @@
         PermitGrant {
             permits,
             wait,
-            saying: self.saying,
+            reported: self.reported,
         }
     }
 }
 
 /// Reports are sent to other hosts with their age, since hosts' clocks differ.
-impl LimitSaying {
+impl ReportedLimit {
     /// A report of this age.
-    pub fn told(limit: Option<ServerLimit>, age: Duration, now: Duration) -> Self {
+    pub fn from_age(limit: Option<ServerLimit>, age: Duration, now: Duration) -> Self {
         Self {
             limit,
-            said: PastTime::at(now).before(age),
+            as_of: PastTime::at(now).before(age),
         }
     }
 
     /// The age of the report.
     pub fn age(&self, now: Duration) -> Duration {
-        self.said.age(now)
+        self.as_of.age(now)
     }
 }
--- a/src/relay/policy/permit_owners.rs
+++ b/src/relay/policy/permit_owners.rs
@@ -32,7 +32,7 @@
     skipped_until: Duration,
     skip_time: Duration,
     // The connection was refused, so the host is down and not just unreachable.
-    is_gone: bool,
+    is_down: bool,
 }
 
 /// The owners of permits from the view of one host.
@@ -66,42 +66,42 @@
     }
 
     /// Records that a host responded.
-    pub fn note_heard(&mut self, name: &FastStr) {
+    pub fn record_response(&mut self, name: &FastStr) {
         self.unresponsive.remove(name);
     }
 
-    /// Records that a host did not respond, or, with `is_gone`, that it refused the connection.
-    pub fn note_silent(&mut self, name: &FastStr, is_gone: bool, now: Duration) {
+    /// Records that a host did not respond, or, with `is_down`, that it refused the connection.
+    pub fn record_no_response(&mut self, name: &FastStr, is_down: bool, now: Duration) {
         let doubled = self.unresponsive.get(name).map(|host| host.skip_time * 2);
         let skip_time = doubled.unwrap_or(INITIAL_SKIP_TIME).min(MAX_SKIP_TIME);
         let host = UnresponsiveHost {
             skipped_until: now + skip_time,
             skip_time,
-            is_gone,
+            is_down,
         };
         self.unresponsive.insert(name.clone(), host);
     }
 
     /// The number of listed hosts that are known to be down.
-    pub fn gone(&self) -> usize {
+    pub fn down_count(&self) -> usize {
         self.unresponsive
             .values()
-            .filter(|host| host.is_gone)
+            .filter(|host| host.is_down)
             .count()
     }
 
     /// Whether a permit request may be sent to another host.
-    pub fn may_ask(&mut self, now: Duration) -> bool {
+    pub fn may_request(&mut self, now: Duration) -> bool {
         !self.denials.is_full(DENIED_REQUESTS, now)
     }
 
     /// Records that another host denied a permit.
-    pub fn note_denied(&mut self) {
+    pub fn record_denial(&mut self) {
         self.denials.add(1.0);
     }
 
     /// Removes hosts that are no longer listed.
-    pub fn keep_listed(&mut self, is_listed: impl Fn(&FastStr) -> bool) {
+    pub fn retain_listed(&mut self, is_listed: impl Fn(&FastStr) -> bool) {
         self.unresponsive.retain(|name, _| is_listed(name));
     }
 }
--- a/src/route/server_states.rs
+++ b/src/route/server_states.rs
@@ -10,8 +10,8 @@
         clock::HostClock,
         event,
         relay::{
-            self, AvailabilityBook, EngineKey, LimitBook, LimitMark, LimitSaying, PermitAllocator,
-            PermitState, ServerAvailability, ServerHeaders, ServerMarks, ServerRun,
+            self, AvailabilityBook, EngineKey, LimitMark, LimitTracker, PermitAllocator,
+            PermitState, ReportedLimit, ServerAvailability, ServerHeaders, ServerMarks, ServerRun,
         },
     },
     faststr::FastStr,
@@ -34,7 +34,7 @@
 
 #[derive(Debug)]
 struct KnownStates {
-    limits: LimitBook,
+    limits: LimitTracker,
     allocator: PermitAllocator,
     availability: AvailabilityBook,
 }
@@ -50,7 +50,7 @@
     /// Nothing is known yet.
     pub fn new(host: &str, clock: HostClock) -> Self {
         let known = KnownStates {
-            limits: LimitBook::new(host),
+            limits: LimitTracker::new(host),
             allocator: PermitAllocator::default(),
             availability: AvailabilityBook::default(),
         };
@@ -90,8 +90,8 @@
             }
         };
         let now = self.clock.now();
-        let saying = LimitSaying::told(limit, now.saturating_sub(sent), now);
-        self.known().limits.take(key_of(server), saying, now);
+        let saying = ReportedLimit::from_age(limit, now.saturating_sub(sent), now);
+        self.known().limits.update(key_of(server), saying, now);
     }
 
     fn note_availability(&self, server: &ServerInfo, marks: &ServerMarks) {
@@ -142,24 +142,24 @@
         let now = self.clock.now();
         let server = key_of(server);
         let known = &mut *self.known();
-        known.limits.forget_old(now);
-        known.allocator.forget_old(now);
-        if known.limits.permit(server, RANK, now) == PermitState::Ask
-            && let Some(ask) = known.limits.ask(server, RANK, now)
+        known.limits.remove_expired(now);
+        known.allocator.remove_expired(now);
+        if known.limits.permit(server, RANK, now) == PermitState::MustRequest
+            && let Some(ask) = known.limits.permit_request(server, RANK, now)
         {
             let grant = known
                 .allocator
                 .allocate_share(&ask, hosts, rand::random(), now);
-            known.limits.take_grant(server, RANK, &grant, now);
+            known.limits.apply_grant(server, RANK, &grant, now);
         }
         match known.limits.permit(server, RANK, now) {
-            PermitState::Free => Ok(()),
+            PermitState::Unlimited => Ok(()),
             PermitState::Held if known.limits.use_permit(server, now) => Ok(()),
-            PermitState::Empty(wait) => {
-                known.limits.note_sent_away(server);
+            PermitState::Denied(wait) => {
+                known.limits.record_rejection(server);
                 Err(wait)
             }
-            PermitState::Held | PermitState::Ask => Err(Duration::ZERO),
+            PermitState::Held | PermitState::MustRequest => Err(Duration::ZERO),
         }
     }
 
--- a/tests/permit_sim/mod.rs
+++ b/tests/permit_sim/mod.rs
@@ -5,8 +5,8 @@
 
 use {
     bayplank::relay::{
-        EngineKey, HostEntry, LimitBook, LimitSaying, PermitAllocator, PermitGrant, PermitOwners,
-        PermitRequest, PermitState, ServerLimit,
+        EngineKey, HostEntry, LimitTracker, PermitAllocator, PermitGrant, PermitOwners,
+        PermitRequest, PermitState, ReportedLimit, ServerLimit,
     },
     faststr::FastStr,
     rand::{RngExt, SeedableRng, rngs::StdRng},
@@ -45,7 +45,7 @@
     // Only hosts with the same number reach each other.
     partition: usize,
     last_heard: u64,
-    limits: LimitBook,
+    limits: LimitTracker,
     allocator: PermitAllocator,
     isolated: PermitAllocator,
     owners: PermitOwners,
@@ -85,7 +85,7 @@
     // Whether hosts send each other updates about rate-limited servers.
     pub sends_updates: bool,
     responses: BTreeMap<u64, Vec<(usize, usize, u64)>>,
-    updates: BTreeMap<u64, Vec<(usize, usize, LimitSaying)>>,
+    updates: BTreeMap<u64, Vec<(usize, usize, ReportedLimit)>>,
     due: f64,
     rng: StdRng,
     pub counts: SimCounts,
@@ -110,7 +110,7 @@
             is_up: true,
             partition: 0,
             last_heard: 0,
-            limits: LimitBook::new(&format!("host-{index}")),
+            limits: LimitTracker::new(&format!("host-{index}")),
             allocator: PermitAllocator::default(),
             isolated: PermitAllocator::default(),
             owners: PermitOwners::default(),
@@ -184,7 +184,7 @@
         for index in killed {
             let host = &mut self.hosts[index];
             host.is_up = false;
-            host.limits = LimitBook::new(&host.entry.name);
+            host.limits = LimitTracker::new(&host.entry.name);
             host.allocator = PermitAllocator::default();
             host.isolated = PermitAllocator::default();
             host.owners = PermitOwners::default();
@@ -232,8 +232,8 @@
             .first_entry()
             .filter(|entry| *entry.key() <= now)
         {
-            for (from, server, saying) in entry.remove() {
-                self.deliver_update(from, server, saying);
+            for (from, server, reported) in entry.remove() {
+                self.deliver_update(from, server, reported);
             }
         }
         self.due += self.rate * STEP as f64 / 1_000.0;
@@ -276,9 +276,9 @@
         if !self.hosts[host].is_up {
             return;
         }
-        let saying = LimitSaying::told(limit, millis(self.now - sent), now);
+        let reported = ReportedLimit::from_age(limit, millis(self.now - sent), now);
         let was = self.hosts[host].limits.limit(key);
-        self.hosts[host].limits.take(key, saying, now);
+        self.hosts[host].limits.update(key, reported, now);
         self.mark_own(host, server);
         if limit.is_some() {
             self.servers[server].first_limited.get_or_insert(self.now);
@@ -295,24 +295,26 @@
             self.updates
                 .entry(at)
                 .or_default()
-                .push((host, server, saying));
+                .push((host, server, reported));
         }
         if limit.is_none() {
-            let ask = PermitRequest {
+            let request = PermitRequest {
                 server: key,
-                saying,
+                reported,
                 wanted: 0,
                 rank: u8::MAX,
             };
-            self.request_permits(host, server, &ask);
+            self.request_permits(host, server, &request);
         }
     }
 
-    fn deliver_update(&mut self, from: usize, server: usize, saying: LimitSaying) {
+    fn deliver_update(&mut self, from: usize, server: usize, reported: ReportedLimit) {
         let key = self.servers[server].key;
         for index in 0..self.hosts.len() {
             if self.reaches(from, index) {
-                self.hosts[index].limits.take(key, saying, millis(self.now));
+                self.hosts[index]
+                    .limits
+                    .update(key, reported, millis(self.now));
                 self.mark_own(index, server);
             }
         }
@@ -359,7 +361,7 @@
         let offset = self.rng.random_range(0..self.servers.len());
         let candidates = among.iter().filter(|index| {
             let key = self.servers[**index].key;
-            let is_empty = matches!(limits.permit(key, 1, now), PermitState::Empty(_));
+            let is_empty = matches!(limits.permit(key, 1, now), PermitState::Denied(_));
             !tried.contains(index) && !is_empty
         });
         let best = candidates.min_by_key(|index| {
@@ -373,26 +375,31 @@
         let key = self.servers[server].key;
         let now = millis(self.now);
         match self.hosts[host].limits.permit(key, 1, now) {
-            PermitState::Free => return true,
+            PermitState::Unlimited => return true,
             PermitState::Held => return self.hosts[host].limits.use_permit(key, now),
-            PermitState::Empty(_) => return false,
-            PermitState::Ask => {}
+            PermitState::Denied(_) => return false,
+            PermitState::MustRequest => {}
         }
-        let ask = self.hosts[host]
+        let request = self.hosts[host]
             .limits
-            .ask(key, 1, now)
+            .permit_request(key, 1, now)
             .expect("rate-limited");
-        let grant = self.request_permits(host, server, &ask);
+        let grant = self.request_permits(host, server, &request);
         let limits = &mut self.hosts[host].limits;
-        limits.take(key, grant.saying, now);
-        limits.take_grant(key, 1, &grant, now);
+        limits.update(key, grant.reported, now);
+        limits.apply_grant(key, 1, &grant, now);
         match limits.permit(key, 1, now) {
-            PermitState::Free => true,
+            PermitState::Unlimited => true,
             _ => limits.use_permit(key, now),
         }
     }
 
-    fn request_permits(&mut self, host: usize, server: usize, ask: &PermitRequest) -> PermitGrant {
+    fn request_permits(
+        &mut self,
+        host: usize,
+        server: usize,
+        request: &PermitRequest,
+    ) -> PermitGrant {
         let now = millis(self.now);
         for _ in 0..OWNERS_ASKED {
             let Some(owner) = self.owner_seen_by(host, server) else {
@@ -401,26 +408,26 @@
             if owner == host {
                 let is_in_touch = self.now - self.hosts[host].last_heard < 2_000;
                 if is_in_touch || self.peers_not_gone(host) == 0 {
-                    return self.allocate_as_owner(host, ask);
+                    return self.allocate_as_owner(host, request);
                 }
                 break;
             }
-            if !self.hosts[host].owners.may_ask(now) {
+            if !self.hosts[host].owners.may_request(now) {
                 return PermitGrant {
                     permits: 0,
                     wait: millis(500),
-                    saying: ask.saying,
+                    reported: request.reported,
                 };
             }
             self.counts.permit_requests += 1;
             self.handled[owner] += 1;
             if self.reaches(host, owner) {
-                let grant = self.handle_permit_request(owner, server, ask);
+                let grant = self.handle_permit_request(owner, server, request);
                 let name = self.hosts[owner].entry.name.clone();
                 let owners = &mut self.hosts[host].owners;
-                owners.note_heard(&name);
-                if grant.permits == 0 && ask.wanted > 0 {
-                    owners.note_denied();
+                owners.record_response(&name);
+                if grant.permits == 0 && request.wanted > 0 {
+                    owners.record_denial();
                 }
                 return grant;
             }
@@ -430,7 +437,7 @@
         let level = self.rng.random();
         self.hosts[host]
             .isolated
-            .allocate_alone(ask, hosts, level, now)
+            .allocate_isolated(request, hosts, level, now)
     }
 
     fn owner_seen_by(&self, host: usize, server: usize) -> Option<usize> {
@@ -446,37 +453,37 @@
         &mut self,
         host: usize,
         server: usize,
-        ask: &PermitRequest,
+        request: &PermitRequest,
     ) -> PermitGrant {
         let other = self
             .owner_seen_by(host, server)
             .filter(|owner| *owner != host);
         let Some(owner) = other else {
-            return self.allocate_as_owner(host, ask);
+            return self.allocate_as_owner(host, request);
         };
         self.counts.permit_requests += 1;
         self.handled[owner] += 1;
         let name = self.hosts[owner].entry.name.clone();
         if self.reaches(host, owner) {
-            self.hosts[host].owners.note_heard(&name);
-            return self.allocate_as_owner(owner, ask);
+            self.hosts[host].owners.record_response(&name);
+            return self.allocate_as_owner(owner, request);
         }
         self.note_silent(host, owner);
-        self.allocate_as_owner(host, ask)
+        self.allocate_as_owner(host, request)
     }
 
-    fn allocate_as_owner(&mut self, host: usize, ask: &PermitRequest) -> PermitGrant {
+    fn allocate_as_owner(&mut self, host: usize, request: &PermitRequest) -> PermitGrant {
         let now = millis(self.now);
         let host = &mut self.hosts[host];
-        let grant = host.allocator.deal(ask, now);
-        if host.limits.limit(ask.server).is_some() {
-            host.limits.take(ask.server, grant.saying, now);
+        let grant = host.allocator.allocate(request, now);
+        if host.limits.limit(request.server).is_some() {
+            host.limits.update(request.server, grant.reported, now);
         }
         grant
     }
 
     fn peers_not_gone(&self, host: usize) -> usize {
-        (self.hosts.len() - 1).saturating_sub(self.hosts[host].owners.gone())
+        (self.hosts.len() - 1).saturating_sub(self.hosts[host].owners.down_count())
     }
 
     // A killed host refuses the connection; across a partition, requests time out.
@@ -485,7 +492,9 @@
         let is_gone = !other.is_up && other.partition == self.hosts[host].partition;
         let name = other.entry.name.clone();
         let now = millis(self.now);
-        self.hosts[host].owners.note_silent(&name, is_gone, now);
+        self.hosts[host]
+            .owners
+            .record_no_response(&name, is_gone, now);
     }
 
     fn send(&mut self, host: usize, server: usize) {
--- a/tests/relay_limited_choices.rs
+++ b/tests/relay_limited_choices.rs
@@ -7,7 +7,7 @@
     bayplank::{
         engine::EngineRole,
         relay::{
-            BackendBook, BackendFailure, BackendInfo, LimitSaying, PermitGrant, PlainChoice,
+            BackendBook, BackendFailure, BackendInfo, PermitGrant, PlainChoice, ReportedLimit,
             SendWish, ServerLimit,
         },
     },
@@ -16,19 +16,19 @@
 
 const NOW: Duration = Duration::from_secs(1);
 
-fn saying() -> LimitSaying {
-    LimitSaying::told(ServerLimit::new(2.0), Duration::ZERO, NOW)
+fn reported() -> ReportedLimit {
+    ReportedLimit::from_age(ServerLimit::new(2.0), Duration::ZERO, NOW)
 }
 
 // Marks a server as rate-limited, with no permit available for `wait` milliseconds.
 fn deny_permits(book: &mut BackendBook, server: &BackendInfo, wait: u64) {
-    book.limits.take(server.key(), saying(), NOW);
+    book.limits.update(server.key(), reported(), NOW);
     let grant = PermitGrant {
         permits: 0,
         wait: Duration::from_millis(wait),
-        saying: saying(),
+        reported: reported(),
     };
-    book.limits.take_grant(server.key(), 0, &grant, NOW);
+    book.limits.apply_grant(server.key(), 0, &grant, NOW);
 }
 
 fn book_of(servers: &[BackendInfo]) -> BackendBook {
@@ -50,7 +50,7 @@
     ];
     let mut book = book_of(&servers);
     deny_permits(&mut book, &servers[0], 300);
-    book.limits.take(servers[1].key(), saying(), NOW);
+    book.limits.update(servers[1].key(), reported(), NOW);
     assert_eq!(choose(&book), PlainChoice::Send(servers[2].clone()));
     // The rate-limited server whose permits were not denied is next.
     let tried = [servers[2].id.clone()];
@@ -77,7 +77,7 @@
 fn a_rate_limited_server_that_is_leaving_gets_no_requests() {
     let servers = [backend("a", "z", None)];
     let mut book = book_of(&servers);
-    book.limits.take(servers[0].key(), saying(), NOW);
+    book.limits.update(servers[0].key(), reported(), NOW);
     book.set_leaving("a");
     assert_eq!(choose(&book), PlainChoice::NoneLeft);
 }
@@ -86,7 +86,7 @@
 fn a_rate_limited_server_that_fails_is_skipped() {
     let servers = [backend("a", "z", None), backend("b", "z", None)];
     let mut book = book_of(&servers);
-    book.limits.take(servers[0].key(), saying(), NOW);
+    book.limits.update(servers[0].key(), reported(), NOW);
     book.failed("a", BackendFailure::Silent, NOW);
     assert_eq!(choose(&book), PlainChoice::Send(servers[1].clone()));
 }
--- a/tests/relay_server_limits.rs
+++ b/tests/relay_server_limits.rs
@@ -2,8 +2,8 @@
 
 use {
     bayplank::relay::{
-        CachePosition, EngineKey, FindingSource, LimitBook, LimitMark, LimitSaying, LimitUpdates,
-        PastTime, PermitAllocator, PermitGrant, PermitRequest, PermitState, ServerLimit,
+        CachePosition, EngineKey, FindingSource, LimitMark, LimitTracker, LimitUpdates, PastTime,
+        PermitAllocator, PermitGrant, PermitRequest, PermitState, ReportedLimit, ServerLimit,
     },
     bolero::check,
     std::time::Duration,
@@ -46,22 +46,25 @@
     assert_eq!(read(&["3", "3"]), LimitMark::Unreadable, "two values");
 }
 
-fn saying(limit: Option<f64>, said: u64) -> LimitSaying {
-    LimitSaying {
+fn reported(limit: Option<f64>, as_of: u64) -> ReportedLimit {
+    ReportedLimit {
         limit: limit.and_then(ServerLimit::new),
-        said: PastTime::at(Duration::from_millis(said)),
+        as_of: PastTime::at(Duration::from_millis(as_of)),
     }
 }
 
 #[test]
 fn a_late_response_does_not_override_a_newer_one() {
-    let mut book = LimitBook::default();
-    assert_eq!(book.take(SERVER, saying(Some(3.0), 20), NOW), Some(None));
-    assert_eq!(book.take(SERVER, saying(None, 10), NOW), None);
-    assert_eq!(book.take(SERVER, saying(Some(9.0), 15), NOW), None);
+    let mut book = LimitTracker::default();
+    assert_eq!(
+        book.update(SERVER, reported(Some(3.0), 20), NOW),
+        Some(None)
+    );
+    assert_eq!(book.update(SERVER, reported(None, 10), NOW), None);
+    assert_eq!(book.update(SERVER, reported(Some(9.0), 15), NOW), None);
     assert_eq!(book.limit(SERVER), ServerLimit::new(3.0));
     assert_eq!(
-        book.take(SERVER, saying(None, 30), NOW),
+        book.update(SERVER, reported(None, 30), NOW),
         Some(ServerLimit::new(3.0))
     );
     assert!(book.is_empty());
@@ -69,31 +72,31 @@
 
 #[test]
 fn a_limit_that_is_not_confirmed_expires_after_a_minute() {
-    let mut book = LimitBook::default();
-    book.take(SERVER, saying(Some(3.0), 20), NOW);
-    assert!(book.forget_old(Duration::from_secs(59)).is_empty());
-    assert_eq!(book.forget_old(Duration::from_secs(61)), [SERVER]);
+    let mut book = LimitTracker::default();
+    book.update(SERVER, reported(Some(3.0), 20), NOW);
+    assert!(book.remove_expired(Duration::from_secs(59)).is_empty());
+    assert_eq!(book.remove_expired(Duration::from_secs(61)), [SERVER]);
     assert!(book.is_empty());
 }
 
 #[test]
 fn a_limit_that_changes_with_each_response_is_reported_once_a_second() {
-    let mut book = LimitBook::default();
+    let mut book = LimitTracker::default();
     let mut shown = 0;
     for at in (0..5_000).step_by(10) {
-        let saying = saying(Some(at as f64), at);
+        let reported = reported(Some(at as f64), at);
         shown += usize::from(
-            book.take(SERVER, saying, Duration::from_millis(at))
+            book.update(SERVER, reported, Duration::from_millis(at))
                 .is_some(),
         );
     }
     assert_eq!(shown, 5);
 }
 
-fn ask(limit: f64, said: u64, wanted: u32, rank: u8) -> PermitRequest {
+fn permit_request(limit: f64, as_of: u64, wanted: u32, rank: u8) -> PermitRequest {
     PermitRequest {
         server: SERVER,
-        saying: saying(Some(limit), said),
+        reported: reported(Some(limit), as_of),
         wanted,
         rank,
     }
@@ -102,13 +105,13 @@
 // The number of permits granted between two times to a host that sends a request every `step` milliseconds.
 fn granted(
     allocator: &mut PermitAllocator,
-    ask: PermitRequest,
+    request: PermitRequest,
     from: u64,
     until: u64,
     step: usize,
 ) -> u32 {
     let times = (from..until).step_by(step);
-    let grants = times.map(|at| allocator.deal(&ask, Duration::from_millis(at)));
+    let grants = times.map(|at| allocator.allocate(&request, Duration::from_millis(at)));
     grants.map(|grant| grant.permits).sum()
 }
 
@@ -116,7 +119,13 @@
 fn an_allocator_grants_as_many_permits_as_the_server_accepts() {
     for limit in [0.8_f64, 1.9, 3.0, 20.0, 400.0] {
         let mut allocator = PermitAllocator::default();
-        let permits = granted(&mut allocator, ask(limit, 1, 16, 0), 0, 10_000, 1);
+        let permits = granted(
+            &mut allocator,
+            permit_request(limit, 1, 16, 0),
+            0,
+            10_000,
+            1,
+        );
         let share = f64::from(permits) / (limit * 10.0);
         assert!(
             (0.85..=1.15).contains(&share),
@@ -129,7 +138,13 @@
 fn a_server_with_a_tiny_limit_still_gets_a_bounded_number_of_requests() {
     for limit in [0.0, 0.01, 0.2] {
         let mut allocator = PermitAllocator::default();
-        let permits = granted(&mut allocator, ask(limit, 1, 16, 0), 0, 40_000, 10);
+        let permits = granted(
+            &mut allocator,
+            permit_request(limit, 1, 16, 0),
+            0,
+            40_000,
+            10,
+        );
         assert!(
             (20..=25).contains(&permits),
             "{permits} permits in 40 s of {limit} a second"
@@ -145,9 +160,13 @@
         let now = Duration::from_millis(at);
         // Many less urgent requests arrive between two urgent ones. The urgent ones use about four fifths of the limit.
         if at % 400 == 0 {
-            urgent += allocator.deal(&ask(3.0, 1, 1, 0), now).permits;
+            urgent += allocator
+                .allocate(&permit_request(3.0, 1, 1, 0), now)
+                .permits;
         }
-        other += allocator.deal(&ask(3.0, 1, 1, 2), now).permits;
+        other += allocator
+            .allocate(&permit_request(3.0, 1, 1, 2), now)
+            .permits;
     }
     assert!(urgent >= 45, "{urgent} of 50 urgent requests got a permit");
     assert!(
@@ -160,7 +179,7 @@
 fn denied_requests_get_different_retry_times() {
     let mut allocator = PermitAllocator::default();
     let waits: Vec<Duration> = (0..6)
-        .map(|_| allocator.deal(&ask(2.0, 1, 1, 0), NOW).wait)
+        .map(|_| allocator.allocate(&permit_request(2.0, 1, 1, 0), NOW).wait)
         .filter(|wait| !wait.is_zero())
         .collect();
     assert!(waits.len() >= 5);
@@ -171,55 +190,55 @@
 
 #[test]
 fn rejected_callers_of_a_host_get_different_retry_times() {
-    let mut book = LimitBook::default();
-    book.take(SERVER, saying(Some(2.0), 1), NOW);
+    let mut book = LimitTracker::default();
+    book.update(SERVER, reported(Some(2.0), 1), NOW);
     let wait = Duration::from_millis(300);
     let grant = PermitGrant {
         permits: 0,
         wait,
-        saying: saying(Some(2.0), 1),
+        reported: reported(Some(2.0), 1),
     };
-    assert_eq!(book.permit(SERVER, 1, NOW), PermitState::Ask);
-    book.take_grant(SERVER, 1, &grant, NOW);
-    assert_eq!(book.permit(SERVER, 1, NOW), PermitState::Empty(wait));
-    book.note_sent_away(SERVER);
+    assert_eq!(book.permit(SERVER, 1, NOW), PermitState::MustRequest);
+    book.apply_grant(SERVER, 1, &grant, NOW);
+    assert_eq!(book.permit(SERVER, 1, NOW), PermitState::Denied(wait));
+    book.record_rejection(SERVER);
     let next = wait + Duration::from_millis(500);
-    assert_eq!(book.permit(SERVER, 1, NOW), PermitState::Empty(next));
+    assert_eq!(book.permit(SERVER, 1, NOW), PermitState::Denied(next));
     assert_eq!(
         book.permit(SERVER, 0, NOW),
-        PermitState::Ask,
+        PermitState::MustRequest,
         "a more urgent request may get a permit"
     );
 }
 
 #[test]
 fn a_returned_permit_is_used_by_the_next_request_or_expires() {
-    let mut book = LimitBook::default();
-    book.take(SERVER, saying(Some(2.0), 1), NOW);
-    book.give_back(SERVER, NOW);
+    let mut book = LimitTracker::default();
+    book.update(SERVER, reported(Some(2.0), 1), NOW);
+    book.return_permit(SERVER, NOW);
     assert_eq!(book.permit(SERVER, 3, NOW), PermitState::Held);
     assert!(book.use_permit(SERVER, NOW));
     assert!(
         !book.use_permit(SERVER, NOW),
         "the permit can be used only once"
     );
-    book.give_back(SERVER, NOW);
+    book.return_permit(SERVER, NOW);
     assert!(!book.use_permit(SERVER, NOW + Duration::from_millis(300)));
 }
 
 #[test]
 fn an_owner_passes_on_that_a_limit_ended() {
     let mut allocator = PermitAllocator::default();
-    allocator.deal(&ask(0.0, 5, 1, 0), NOW);
+    allocator.allocate(&permit_request(0.0, 5, 1, 0), NOW);
     let end = PermitRequest {
-        saying: saying(None, 20),
+        reported: reported(None, 20),
         wanted: 0,
-        ..ask(0.0, 5, 1, 0)
+        ..permit_request(0.0, 5, 1, 0)
     };
-    assert_eq!(allocator.deal(&end, NOW).permits, 0);
-    let grant = allocator.deal(&ask(0.0, 10, 4, 0), NOW);
+    assert_eq!(allocator.allocate(&end, NOW).permits, 0);
+    let grant = allocator.allocate(&permit_request(0.0, 10, 4, 0), NOW);
     assert_eq!(
-        (grant.permits, grant.saying.limit),
+        (grant.permits, grant.reported.limit),
         (4, None),
         "an older report does not override the end of the limit"
     );
@@ -228,8 +247,20 @@
 #[test]
 fn permits_granted_at_a_higher_limit_are_not_deducted_at_a_lower_one() {
     let mut allocator = PermitAllocator::default();
-    granted(&mut allocator, ask(1_000.0, 1, 16, 0), 0, 5_000, 1);
-    let permits = granted(&mut allocator, ask(2.0, 6_000, 16, 0), 5_000, 15_000, 10);
+    granted(
+        &mut allocator,
+        permit_request(1_000.0, 1, 16, 0),
+        0,
+        5_000,
+        1,
+    );
+    let permits = granted(
+        &mut allocator,
+        permit_request(2.0, 6_000, 16, 0),
+        5_000,
+        15_000,
+        10,
+    );
     assert!((16..=22).contains(&permits), "{permits} permits in 10 s");
 }
 
@@ -237,20 +268,20 @@
 fn only_the_start_and_the_end_of_a_limit_are_sent() {
     let mut updates = LimitUpdates::new(3);
     let source = FindingSource::Reported;
-    assert!(updates.note(SERVER, saying(Some(3.0), 10), source, NOW));
+    assert!(updates.record(SERVER, reported(Some(3.0), 10), source, NOW));
     assert!(
-        !updates.note(SERVER, saying(Some(4.0), 20), source, NOW),
+        !updates.record(SERVER, reported(Some(4.0), 20), source, NOW),
         "a change from one limit to another"
     );
     assert!(
-        !updates.note(SERVER, saying(None, 15), source, NOW),
+        !updates.record(SERVER, reported(None, 15), source, NOW),
         "an older report"
     );
-    let told = updates.since(CachePosition::default(), NOW);
-    assert_eq!(told.findings[0].limit, ServerLimit::new(4.0));
-    assert!(updates.since(told.position, NOW).findings.is_empty());
-    assert!(updates.note(SERVER, saying(None, 30), source, NOW));
-    assert_eq!(updates.since(told.position, NOW).findings[0].limit, None);
+    let first = updates.since(CachePosition::default(), NOW);
+    assert_eq!(first.findings[0].limit, ServerLimit::new(4.0));
+    assert!(updates.since(first.position, NOW).findings.is_empty());
+    assert!(updates.record(SERVER, reported(None, 30), source, NOW));
+    assert_eq!(updates.since(first.position, NOW).findings[0].limit, None);
 }
 
 /// A random event in a fleet of five hosts with one permit allocator.
@@ -275,7 +306,7 @@
 struct SimFleet {
     now: u64,
     allocator: PermitAllocator,
-    books: Vec<LimitBook>,
+    books: Vec<LimitTracker>,
     responses: Vec<(u64, usize, u8, PermitGrant)>,
     // The times at which permits were used and not returned.
     sent: Vec<u64>,
@@ -283,11 +314,11 @@
 
 impl SimFleet {
     fn new(limit: f64) -> Self {
-        let mut books: Vec<LimitBook> = (0..FLEET_HOSTS)
-            .map(|host| LimitBook::new(&format!("host-{host}")))
+        let mut books: Vec<LimitTracker> = (0..FLEET_HOSTS)
+            .map(|host| LimitTracker::new(&format!("host-{host}")))
             .collect();
         for book in &mut books {
-            book.take(SERVER, saying(Some(limit), 0), Duration::ZERO);
+            book.update(SERVER, reported(Some(limit), 0), Duration::ZERO);
         }
         Self {
             now: 1,
@@ -308,32 +339,32 @@
         let rank = u8::from(!event.is_urgent);
         if event.gets_old_report {
             let age = Duration::from_millis(self.now + 1 + u64::from(event.delay));
-            let told = LimitSaying::told(None, age, now);
-            self.books[host].take(SERVER, told, now);
+            let old_report = ReportedLimit::from_age(None, age, now);
+            self.books[host].update(SERVER, old_report, now);
         }
-        if self.books[host].permit(SERVER, rank, now) == PermitState::Ask {
-            self.ask(host, rank, event);
+        if self.books[host].permit(SERVER, rank, now) == PermitState::MustRequest {
+            self.request_permits(host, rank, event);
         }
         let book = &mut self.books[host];
         if !book.use_permit(SERVER, now) {
             return;
         }
         match event.is_returned {
-            true => book.give_back(SERVER, now),
+            true => book.return_permit(SERVER, now),
             false => self.sent.push(self.now),
         }
     }
 
-    fn ask(&mut self, host: usize, rank: u8, event: &FleetEvent) {
+    fn request_permits(&mut self, host: usize, rank: u8, event: &FleetEvent) {
         let now = Duration::from_millis(self.now);
-        let ask = self.books[host]
-            .ask(SERVER, rank, now)
+        let request = self.books[host]
+            .permit_request(SERVER, rank, now)
             .expect("rate-limited");
-        let ask = PermitRequest {
-            wanted: ask.wanted.max(u32::from(event.wanted % 16)),
-            ..ask
+        let request = PermitRequest {
+            wanted: request.wanted.max(u32::from(event.wanted % 16)),
+            ..request
         };
-        let grant = self.allocator.deal(&ask, now);
+        let grant = self.allocator.allocate(&request, now);
         if !event.is_lost {
             let at = self.now + u64::from(event.delay % 80);
             self.responses.push((at, host, rank, grant));
@@ -349,8 +380,8 @@
             .partition(due);
         self.responses = later;
         for (_, host, rank, grant) in due {
-            self.books[host].take(SERVER, grant.saying, now);
-            self.books[host].take_grant(SERVER, rank, &grant, now);
+            self.books[host].update(SERVER, grant.reported, now);
+            self.books[host].apply_grant(SERVER, rank, &grant, now);
         }
     }
 
--- a/tests/server_availability.rs
+++ b/tests/server_availability.rs
@@ -8,7 +8,7 @@
         engine::EngineRole,
         relay::{
             BackendBook, BackendFailure, BackendInfo, BackoffMark, LeavingMark, LimitMark,
-            LimitSaying, MAX_BACKOFF, PlainChoice, RotationWait, SendWish, ServerLimit,
+            MAX_BACKOFF, PlainChoice, ReportedLimit, RotationWait, SendWish, ServerLimit,
             ServerMarks,
         },
     },
@@ -207,8 +207,8 @@
         let mut book = BackendBook::default();
         let server = backend("a", "z", None);
         book.set_backends(vec![server.clone()]);
-        let limit = LimitSaying::told(ServerLimit::new(3.0), millis(0), millis(0));
-        book.limits.take(server.key(), limit, millis(0));
+        let limit = ReportedLimit::from_age(ServerLimit::new(3.0), millis(0), millis(0));
+        book.limits.update(server.key(), limit, millis(0));
         book.availability.note(&server.run(), &signals, millis(0));
         assert_eq!(choose(&book, millis(1)), PlainChoice::NoneLeft);
         assert!(book.without_permit("one", 0, millis(1)).is_empty());
