--- a/src/relay/dialect.rs
+++ b/src/relay/dialect.rs
@@ -5,8 +5,8 @@
 
 use {
     super::policy::{
-        server_limit::LimitMark,
-        server_marks::{BackoffMark, LeavingMark, ServerMarks},
+        server_limit::LimitSignal,
+        server_marks::{BackoffSignal, LeavingSignal, ServerSignals},
     },
     crate::{account::ShownKey, engine::EngineRole, web::PoolUse},
     bytes::Bytes,
@@ -45,7 +45,7 @@
     /// The backend server states that the request did not run.
     pub not_run: bool,
     /// What it says of its server.
-    pub server: ServerMarks,
+    pub server: ServerSignals,
 }
 
 impl AnswerMarks {
@@ -69,18 +69,18 @@
     status: StatusCode,
     headers: &HeaderMap,
     names: &ServerHeaders,
-) -> ServerMarks {
+) -> ServerSignals {
     let values = |name: &HeaderName| headers.get_all(name).iter().map(HeaderValue::as_bytes);
-    ServerMarks {
-        limit: LimitMark::read(values(&names.limit)),
+    ServerSignals {
+        limit: LimitSignal::parse(values(&names.limit)),
         leaving: match status {
             // That of another run, which has the address now.
-            StatusCode::MISDIRECTED_REQUEST => LeavingMark::Unsaid,
-            _ => LeavingMark::read(values(&names.leaving)),
+            StatusCode::MISDIRECTED_REQUEST => LeavingSignal::Absent,
+            _ => LeavingSignal::parse(values(&names.leaving)),
         },
         backoff: match status {
-            StatusCode::SERVICE_UNAVAILABLE => BackoffMark::read(values(&header::RETRY_AFTER)),
-            _ => BackoffMark::Unsaid,
+            StatusCode::SERVICE_UNAVAILABLE => BackoffSignal::parse(values(&header::RETRY_AFTER)),
+            _ => BackoffSignal::Absent,
         },
     }
 }
--- a/src/relay/parts/availability.rs
+++ b/src/relay/parts/availability.rs
@@ -10,7 +10,7 @@
             policy::{
                 availability::ServerAvailability,
                 rotation::RotationWait,
-                server_marks::{BackoffMark, LeavingMark, ServerMarks},
+                server_marks::{BackoffSignal, LeavingSignal, ServerSignals},
             },
         },
         web::{PoolUse, PooledAnswer, SendFailure},
@@ -41,7 +41,7 @@
     pub fn note_marks(
         &self,
         backend: &BackendInfo,
-        marks: &ServerMarks,
+        marks: &ServerSignals,
         kind: AnswerKind,
         sent: Duration,
     ) {
@@ -74,9 +74,9 @@
         self.pool.send_if(target, request, check).await
     }
 
-    fn note_availability(&self, backend: &BackendInfo, marks: &ServerMarks) {
+    fn note_availability(&self, backend: &BackendInfo, marks: &ServerSignals) {
         let is_unreadable =
-            marks.leaving == LeavingMark::Unreadable || marks.backoff == BackoffMark::Unreadable;
+            marks.leaving == LeavingSignal::Invalid || marks.backoff == BackoffSignal::Invalid;
         if is_unreadable {
             // Counted for all, logged for those who look: a server could fill the log with it.
             self.metrics.unreadable_marks.inc();
@@ -84,7 +84,7 @@
         }
         let now = self.now();
         let mut book = self.book.borrow_mut();
-        let change = book.availability.note(&backend.run(), marks, now);
+        let change = book.availability.record(&backend.run(), marks, now);
         drop(book);
         if change.is_leaving {
             self.pool.forget(backend.address);
--- a/src/relay/parts/server_limits.rs
+++ b/src/relay/parts/server_limits.rs
@@ -12,7 +12,7 @@
                 limit_updates::{LimitUpdate, LimitUpdates},
                 loads::EngineKey,
                 permit_allocator::PermitRequest,
-                server_limit::{LimitMark, ServerLimit},
+                server_limit::{LimitSignal, ServerLimit},
             },
         },
     },
@@ -96,15 +96,15 @@
     pub fn note_limit(
         &self,
         backend: &BackendInfo,
-        mark: LimitMark,
+        mark: LimitSignal,
         kind: AnswerKind,
         sent: Duration,
     ) {
         let limit = match (mark, kind) {
-            (LimitMark::Named(limit), _) => Some(limit),
-            (LimitMark::Unreadable, _) => return self.note_unreadable_limit(backend),
-            (LimitMark::Unsaid, AnswerKind::GoodRun) => None,
-            (LimitMark::Unsaid, AnswerKind::Other) => return,
+            (LimitSignal::Limited(limit), _) => Some(limit),
+            (LimitSignal::Invalid, _) => return self.note_unreadable_limit(backend),
+            (LimitSignal::Absent, AnswerKind::GoodRun) => None,
+            (LimitSignal::Absent, AnswerKind::Other) => return,
         };
         let age = self.now().saturating_sub(sent);
         let saying = ReportedLimit::from_age(limit, age, self.now());
--- a/src/relay/policy/availability.rs
+++ b/src/relay/policy/availability.rs
@@ -4,7 +4,7 @@
 //! A state machine without I/O. It holds entries only for servers whose responses stated one of the two.
 
 use {
-    super::server_marks::{BackoffMark, LeavingMark, ServerMarks},
+    super::server_marks::{BackoffSignal, LeavingSignal, ServerSignals},
     faststr::FastStr,
     std::{collections::HashMap, net::SocketAddr, time::Duration},
 };
@@ -74,21 +74,21 @@
 
 /// The servers that are leaving or that asked this host to back off.
 #[derive(Debug, Default)]
-pub struct AvailabilityBook {
+pub struct AvailabilityTracker {
     servers: HashMap<ServerRun, KnownAvailability>,
 }
 
-impl AvailabilityBook {
+impl AvailabilityTracker {
     /// Records what a response states about its server.
-    pub fn note(
+    pub fn record(
         &mut self,
         run: &ServerRun,
-        marks: &ServerMarks,
+        signals: &ServerSignals,
         now: Duration,
     ) -> AvailabilityChange {
-        let is_leaving = marks.leaving == LeavingMark::Leaving;
-        let backoff = match marks.backoff {
-            BackoffMark::Lasting(time) if !time.is_zero() => Some(time),
+        let is_leaving = signals.leaving == LeavingSignal::Leaving;
+        let backoff = match signals.backoff {
+            BackoffSignal::Backoff(time) if !time.is_zero() => Some(time),
             _ => None,
         };
         if !is_leaving && backoff.is_none() {
@@ -146,7 +146,7 @@
 
     /// The part of a server's load that is still held back after its backoff, falling from 1 at the end of the backoff
     /// to 0.
-    pub fn returning(&self, run: &ServerRun, now: Duration) -> f64 {
+    pub fn ramp_up_remaining(&self, run: &ServerRun, now: Duration) -> f64 {
         let backoff = self.known(run).and_then(|known| known.backoff);
         let Some(over) = backoff.and_then(|backoff| now.checked_sub(backoff.until)) else {
             return 0.0;
--- a/src/relay/policy/book.rs
+++ b/src/relay/policy/book.rs
@@ -4,7 +4,7 @@
 
 use {
     super::{
-        availability::AvailabilityBook,
+        availability::AvailabilityTracker,
         changes::BackendChanges,
         limit_book::{LimitTracker, PermitState, PermitWait},
         loads::{EngineKey, EngineLoad},
@@ -79,7 +79,7 @@
     /// Those that name a limit.
     pub limits: LimitTracker,
     /// Those that are leaving, or asked this host to back off.
-    pub availability: AvailabilityBook,
+    pub availability: AvailabilityTracker,
 }
 
 impl Default for BackendBook {
@@ -90,7 +90,7 @@
             others_at: None,
             prefill_rate: PREFILL_RATE,
             limits: LimitTracker::default(),
-            availability: AvailabilityBook::default(),
+            availability: AvailabilityTracker::default(),
         }
     }
 }
@@ -183,7 +183,7 @@
             .usable(service, now)
             .filter(|view| !tried.contains(&view.info.id));
         sorted(views, |view| {
-            let returning = self.availability.returning(&view.run, now) * RETURN_PENALTY;
+            let returning = self.availability.ramp_up_remaining(&view.run, now) * RETURN_PENALTY;
             (
                 self.is_passed_over(view, now),
                 order(view.plain_score(zone, now) + returning),
--- a/src/relay/policy/engines.rs
+++ b/src/relay/policy/engines.rs
@@ -60,7 +60,7 @@
     }
 
     fn return_tokens(&self, view: &BackendView, now: Duration) -> u64 {
-        (self.availability.returning(&view.run, now) * RETURN_TOKENS) as u64
+        (self.availability.ramp_up_remaining(&view.run, now) * RETURN_TOKENS) as u64
     }
 
     /// Whether an engine has room for a request, as far as is known.
@@ -117,7 +117,7 @@
         let scored = untried.map(|view| {
             let away = f64::from(u8::from(view.info.zone != zone)) * AWAY_DELAY;
             let away = away + f64::from(u8::from(!view.is_preferred)) * OUTSIDE_DELAY;
-            let away = away + self.availability.returning(&view.run, now) * RETURN_DELAY;
+            let away = away + self.availability.ramp_up_remaining(&view.run, now) * RETURN_DELAY;
             let backlog = view.prefill_backlog(self.prefill_rate, now);
             (view, backlog, backlog + away, rand::random::<u16>())
         });
--- a/src/relay/policy/server_limit.rs
+++ b/src/relay/policy/server_limit.rs
@@ -29,23 +29,23 @@
 
 /// What a response states about its server's limit.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub enum LimitMark {
+pub enum LimitSignal {
     /// No limit: the server is not rate-limited.
     #[default]
-    Unsaid,
+    Absent,
     /// A value that is not a valid limit, or several values. Treated like a missing limit.
-    Unreadable,
+    Invalid,
     /// A valid limit.
-    Named(ServerLimit),
+    Limited(ServerLimit),
 }
 
-impl LimitMark {
+impl LimitSignal {
     /// Parses all values of the header or field that states the limit.
-    pub fn read<'a>(mut values: impl Iterator<Item = &'a [u8]>) -> Self {
+    pub fn parse<'a>(mut values: impl Iterator<Item = &'a [u8]>) -> Self {
         match (values.next(), values.next()) {
-            (None, _) => Self::Unsaid,
-            (Some(value), None) => parse_limit(value).map_or(Self::Unreadable, Self::Named),
-            (Some(_), Some(_)) => Self::Unreadable,
+            (None, _) => Self::Absent,
+            (Some(value), None) => parse_limit(value).map_or(Self::Invalid, Self::Limited),
+            (Some(_), Some(_)) => Self::Invalid,
         }
     }
 }
--- a/src/route/server_states.rs
+++ b/src/route/server_states.rs
@@ -10,8 +10,9 @@
         clock::HostClock,
         event,
         relay::{
-            self, AvailabilityBook, EngineKey, LimitMark, LimitTracker, PermitAllocator,
-            PermitState, ReportedLimit, ServerAvailability, ServerHeaders, ServerMarks, ServerRun,
+            self, AvailabilityTracker, EngineKey, LimitSignal, LimitTracker, PermitAllocator,
+            PermitState, ReportedLimit, ServerAvailability, ServerHeaders, ServerRun,
+            ServerSignals,
         },
     },
     faststr::FastStr,
@@ -36,7 +37,7 @@
 struct KnownStates {
     limits: LimitTracker,
     allocator: PermitAllocator,
-    availability: AvailabilityBook,
+    availability: AvailabilityTracker,
 }
 
 /// Which servers are rate-limited, leaving or waiting for a backoff to end, and this host's permits.
@@ -52,7 +53,7 @@
         let known = KnownStates {
             limits: LimitTracker::new(host),
             allocator: PermitAllocator::default(),
-            availability: AvailabilityBook::default(),
+            availability: AvailabilityTracker::default(),
         };
         Self {
             known: Mutex::new(known),
@@ -81,10 +82,10 @@
         self.note_availability(server, &marks);
         let ran_well = status.is_success();
         let limit = match marks.limit {
-            LimitMark::Named(limit) => Some(limit),
-            LimitMark::Unsaid if ran_well => None,
-            LimitMark::Unsaid => return,
-            LimitMark::Unreadable => {
+            LimitSignal::Limited(limit) => Some(limit),
+            LimitSignal::Absent if ran_well => None,
+            LimitSignal::Absent => return,
+            LimitSignal::Invalid => {
                 log::debug!("{} names a limit that is none", server.name);
                 return;
             }
@@ -94,10 +95,10 @@
         self.known().limits.update(key_of(server), saying, now);
     }
 
-    fn note_availability(&self, server: &ServerInfo, marks: &ServerMarks) {
+    fn note_availability(&self, server: &ServerInfo, marks: &ServerSignals) {
         let now = self.clock.now();
         let mut known = self.known();
-        let change = known.availability.note(&server.run(), marks, now);
+        let change = known.availability.record(&server.run(), marks, now);
         drop(known);
         if change.is_leaving {
             event::emit(
--- a/tests/relay_decisions.rs
+++ b/tests/relay_decisions.rs
@@ -377,11 +377,11 @@
     let engines = ["e-1", "e-2", "e-3", "e-4", "e-5", "e-6"].map(decode);
     book.set_backends(engines.to_vec());
     let now = Duration::from_secs(1);
-    let said = relay::ServerMarks {
-        backoff: relay::BackoffMark::Lasting(now),
-        ..relay::ServerMarks::default()
+    let said = relay::ServerSignals {
+        backoff: relay::BackoffSignal::Backoff(now),
+        ..relay::ServerSignals::default()
     };
-    book.availability.note(&engines[5].run(), &said, now);
+    book.availability.record(&engines[5].run(), &said, now);
     book.failed("e-1", BackendFailure::Silent, now);
     book.declined("e-2", now);
     book.memory_taken("e-3", 40_000);
--- a/tests/relay_server_limits.rs
+++ b/tests/relay_server_limits.rs
@@ -2,7 +2,7 @@
 
 use {
     bayplank::relay::{
-        CachePosition, EngineKey, FindingSource, LimitMark, LimitTracker, LimitUpdates, PastTime,
+        CachePosition, EngineKey, FindingSource, LimitSignal, LimitTracker, LimitUpdates, PastTime,
         PermitAllocator, PermitGrant, PermitRequest, PermitState, ReportedLimit, ServerLimit,
     },
     bolero::check,
@@ -13,12 +13,12 @@
 
 const NOW: Duration = Duration::from_millis(40);
 
-fn read(values: &[&str]) -> LimitMark {
-    LimitMark::read(values.iter().map(|value| value.as_bytes()))
+fn read(values: &[&str]) -> LimitSignal {
+    LimitSignal::parse(values.iter().map(|value| value.as_bytes()))
 }
 
-fn named(limit: f64) -> LimitMark {
-    LimitMark::Named(ServerLimit::new(limit).unwrap())
+fn named(limit: f64) -> LimitSignal {
+    LimitSignal::Limited(ServerLimit::new(limit).unwrap())
 }
 
 #[test]
@@ -32,18 +32,18 @@
     ] {
         assert_eq!(read(&[text]), named(limit), "{text:?}");
     }
-    assert_eq!(read(&[]), LimitMark::Unsaid);
+    assert_eq!(read(&[]), LimitSignal::Absent);
 }
 
 #[test]
-fn invalid_limits_are_unreadable() {
+fn invalid_limits_are_rejected() {
     let long = "9".repeat(1_000);
     for text in [
         "", " ", "-1", "-0", "nan", "inf", "1e9", "3/s", "1,9", "1.2.3", ".", &long, "\u{663}",
     ] {
-        assert_eq!(read(&[text]), LimitMark::Unreadable, "{text:?}");
+        assert_eq!(read(&[text]), LimitSignal::Invalid, "{text:?}");
     }
-    assert_eq!(read(&["3", "3"]), LimitMark::Unreadable, "two values");
+    assert_eq!(read(&["3", "3"]), LimitSignal::Invalid, "two values");
 }
 
 fn reported(limit: Option<f64>, as_of: u64) -> ReportedLimit {
--- a/tests/server_availability.rs
+++ b/tests/server_availability.rs
@@ -7,9 +7,9 @@
     bayplank::{
         engine::EngineRole,
         relay::{
-            BackendBook, BackendFailure, BackendInfo, BackoffMark, LeavingMark, LimitMark,
+            BackendBook, BackendFailure, BackendInfo, BackoffSignal, LeavingSignal, LimitSignal,
             MAX_BACKOFF, PlainChoice, ReportedLimit, RotationWait, SendWish, ServerLimit,
-            ServerMarks,
+            ServerSignals,
         },
     },
     bolero::{TypeGenerator, check},
@@ -20,35 +20,35 @@
     Duration::from_millis(count)
 }
 
-fn read_leaving(values: &[&str]) -> LeavingMark {
-    LeavingMark::read(values.iter().map(|value| value.as_bytes()))
+fn read_leaving(values: &[&str]) -> LeavingSignal {
+    LeavingSignal::parse(values.iter().map(|value| value.as_bytes()))
 }
 
-fn read_backoff(values: &[&str]) -> BackoffMark {
-    BackoffMark::read(values.iter().map(|value| value.as_bytes()))
+fn read_backoff(values: &[&str]) -> BackoffSignal {
+    BackoffSignal::parse(values.iter().map(|value| value.as_bytes()))
 }
 
 #[test]
 fn only_the_value_1_states_that_a_server_is_leaving() {
-    for (values, mark) in [
-        (&[][..], LeavingMark::Unsaid),
-        (&["0"], LeavingMark::Unsaid),
-        (&["1"], LeavingMark::Leaving),
-        (&[" 1 "], LeavingMark::Leaving),
-        (&["1", "1"], LeavingMark::Leaving),
-        (&["0", "1"], LeavingMark::Unreadable),
-        (&["1", "0"], LeavingMark::Unreadable),
-        (&[""], LeavingMark::Unreadable),
-        (&["true"], LeavingMark::Unreadable),
-        (&["1, 1"], LeavingMark::Unreadable),
-        (&["-1"], LeavingMark::Unreadable),
+    for (values, signal) in [
+        (&[][..], LeavingSignal::Absent),
+        (&["0"], LeavingSignal::Absent),
+        (&["1"], LeavingSignal::Leaving),
+        (&[" 1 "], LeavingSignal::Leaving),
+        (&["1", "1"], LeavingSignal::Leaving),
+        (&["0", "1"], LeavingSignal::Invalid),
+        (&["1", "0"], LeavingSignal::Invalid),
+        (&[""], LeavingSignal::Invalid),
+        (&["true"], LeavingSignal::Invalid),
+        (&["1, 1"], LeavingSignal::Invalid),
+        (&["-1"], LeavingSignal::Invalid),
     ] {
-        assert_eq!(read_leaving(values), mark, "{values:?}");
+        assert_eq!(read_leaving(values), signal, "{values:?}");
     }
 }
 
 #[test]
-fn invalid_backoffs_are_unreadable() {
+fn invalid_backoffs_are_rejected() {
     let long = "9".repeat(1_000);
     for text in [
         "",
@@ -62,40 +62,43 @@
         "Thu, 03 Dec 2026 10:00:00 GMT",
         &long,
     ] {
-        assert_eq!(read_backoff(&[text]), BackoffMark::Unreadable, "{text:?}");
+        assert_eq!(read_backoff(&[text]), BackoffSignal::Invalid, "{text:?}");
     }
-    assert_eq!(read_backoff(&[]), BackoffMark::Unsaid);
-    assert_eq!(read_backoff(&["1", "1"]), BackoffMark::Unreadable);
-    assert_eq!(read_backoff(&["2.5"]), BackoffMark::Lasting(millis(2_500)));
+    assert_eq!(read_backoff(&[]), BackoffSignal::Absent);
+    assert_eq!(read_backoff(&["1", "1"]), BackoffSignal::Invalid);
+    assert_eq!(
+        read_backoff(&["2.5"]),
+        BackoffSignal::Backoff(millis(2_500))
+    );
 }
 
 #[test]
 fn a_huge_backoff_is_limited() {
-    let mark = read_backoff(&["1000000000"]);
-    assert_eq!(mark, BackoffMark::Lasting(MAX_BACKOFF));
+    let signal = read_backoff(&["1000000000"]);
+    assert_eq!(signal, BackoffSignal::Backoff(MAX_BACKOFF));
     let mut book = BackendBook::default();
     let server = backend("a", "z", None);
     book.set_backends(vec![server.clone()]);
     book.availability
-        .note(&server.run(), &marks(false, Some(mark)), millis(0));
+        .record(&server.run(), &signals(false, Some(signal)), millis(0));
     let before = MAX_BACKOFF - millis(1);
     assert_eq!(choose(&book, before), PlainChoice::NoneLeft);
     assert_eq!(choose(&book, MAX_BACKOFF), PlainChoice::Send(server));
 }
 
-fn marks(is_leaving: bool, backoff: Option<BackoffMark>) -> ServerMarks {
-    ServerMarks {
-        limit: LimitMark::Unsaid,
+fn signals(is_leaving: bool, backoff: Option<BackoffSignal>) -> ServerSignals {
+    ServerSignals {
+        limit: LimitSignal::Absent,
         leaving: match is_leaving {
-            true => LeavingMark::Leaving,
-            false => LeavingMark::Unsaid,
+            true => LeavingSignal::Leaving,
+            false => LeavingSignal::Absent,
         },
         backoff: backoff.unwrap_or_default(),
     }
 }
 
-fn backoff_of(time: u64) -> Option<BackoffMark> {
-    Some(BackoffMark::Lasting(millis(time)))
+fn backoff_of(time: u64) -> Option<BackoffSignal> {
+    Some(BackoffSignal::Backoff(millis(time)))
 }
 
 fn choose(book: &BackendBook, now: Duration) -> PlainChoice {
@@ -109,9 +112,9 @@
     book.set_backends(vec![server.clone()]);
     let run = server.run();
     book.availability
-        .note(&run, &marks(false, backoff_of(3_000)), millis(0));
+        .record(&run, &signals(false, backoff_of(3_000)), millis(0));
     book.availability
-        .note(&run, &marks(false, backoff_of(500)), millis(100));
+        .record(&run, &signals(false, backoff_of(500)), millis(100));
     let wait = book.rotation_wait("one", None, millis(600));
     assert_eq!(wait, Some(RotationWait::Until(millis(2_400))));
     assert_eq!(book.rotation_wait("one", None, millis(3_000)), None);
@@ -123,9 +126,9 @@
     let server = backend("a", "z", None);
     book.set_backends(vec![server.clone()]);
     for index in 0..20 {
-        let mark = marks(false, backoff_of(100));
+        let signal = signals(false, backoff_of(100));
         book.availability
-            .note(&server.run(), &mark, millis(index * 10));
+            .record(&server.run(), &signal, millis(index * 10));
     }
     assert!(!book.view("a").unwrap().is_out(millis(200)));
     assert_eq!(choose(&book, millis(290)), PlainChoice::Send(server));
@@ -137,7 +140,7 @@
     let [back, other] = ["a", "b"].map(|id| backend(id, "z", None));
     book.set_backends(vec![back.clone(), other.clone()]);
     book.availability
-        .note(&back.run(), &marks(false, backoff_of(1_000)), millis(0));
+        .record(&back.run(), &signals(false, backoff_of(1_000)), millis(0));
     book.call_began("b", false, millis(1_000));
     assert_eq!(choose(&book, millis(1_001)), PlainChoice::Send(other));
     assert_eq!(choose(&book, millis(1_990)), PlainChoice::Send(back));
@@ -149,7 +152,7 @@
     let server = backend("a", "z", Some(EngineRole::Decode));
     book.set_backends(vec![server.clone()]);
     book.availability
-        .note(&server.run(), &marks(true, None), millis(1_000));
+        .record(&server.run(), &signals(true, None), millis(1_000));
     let reserved = Some(millis(900));
     assert!(book.may_send(&server, reserved, millis(1_200)));
     assert!(!book.may_send(&server, reserved, millis(1_400)));
@@ -166,7 +169,7 @@
     };
     book.set_backends(vec![before.clone()]);
     book.availability
-        .note(&before.run(), &marks(true, None), millis(0));
+        .record(&before.run(), &signals(true, None), millis(0));
     assert_eq!(choose(&book, millis(1)), PlainChoice::NoneLeft);
     let after = BackendInfo { born: 9, ..before };
     book.set_backends(vec![after.clone()]);
@@ -182,7 +185,7 @@
     };
     book.set_backends(vec![server.clone()]);
     book.availability
-        .note(&server.run(), &marks(true, None), millis(0));
+        .record(&server.run(), &signals(true, None), millis(0));
     book.set_backends(Vec::new());
     book.evict_availability(millis(20_000));
     book.set_backends(vec![server]);
@@ -195,7 +198,7 @@
     for number in 0..1_000 {
         let server = backend(&format!("s-{number}"), "z", None);
         book.availability
-            .note(&server.run(), &marks(true, backoff_of(50)), millis(0));
+            .record(&server.run(), &signals(true, backoff_of(50)), millis(0));
     }
     book.evict_availability(Duration::from_secs(3_600));
     assert!(book.availability.is_empty());
@@ -203,13 +206,13 @@
 
 #[test]
 fn no_permit_is_requested_for_a_leaving_or_backing_off_server() {
-    for signals in [marks(true, None), marks(false, backoff_of(500))] {
+    for signals in [signals(true, None), signals(false, backoff_of(500))] {
         let mut book = BackendBook::default();
         let server = backend("a", "z", None);
         book.set_backends(vec![server.clone()]);
         let limit = ReportedLimit::from_age(ServerLimit::new(3.0), millis(0), millis(0));
         book.limits.update(server.key(), limit, millis(0));
-        book.availability.note(&server.run(), &signals, millis(0));
+        book.availability.record(&server.run(), &signals, millis(0));
         assert_eq!(choose(&book, millis(1)), PlainChoice::NoneLeft);
         assert!(book.without_permit("one", 0, millis(1)).is_empty());
     }
@@ -359,10 +362,10 @@
     fn signal(&mut self, index: usize, is_leaving: bool, backoff: Option<u16>) {
         let run = self.info(index).run();
         let time = backoff.map(u64::from);
-        let signals = marks(is_leaving, time.and_then(backoff_of));
+        let signals = signals(is_leaving, time.and_then(backoff_of));
         self.book
             .availability
-            .note(&run, &signals, millis(self.now));
+            .record(&run, &signals, millis(self.now));
         let now = self.now;
         let state = self.expected.entry((index, self.born[index])).or_default();
         if is_leaving {
