--- a/src/relay/dialect.rs
+++ b/src/relay/dialect.rs
@@ -6,7 +6,7 @@
 use {
     super::policy::{
         server_limit::LimitSignal,
-        server_marks::{BackoffSignal, LeavingSignal, ServerSignals},
+        server_signals::{BackoffSignal, LeavingSignal, ServerSignals},
     },
     crate::{account::ShownKey, engine::EngineRole, web::PoolUse},
     bytes::Bytes,
--- a/src/relay/link.rs
+++ b/src/relay/link.rs
@@ -1,7 +1,7 @@
 //! The store as a relaying host needs it: typed objects, read, watched and written under a condition.
 
 use {
-    super::{backend::BackendInfo, config::RelayConfig, policy::crash_mark::StoredVerdict},
+    super::{backend::BackendInfo, config::RelayConfig, policy::crash_report::StoredVerdict},
     crate::{
         control::LeaseSpec,
         store::{EraTracker, StoreFailure, StorePosition},
--- a/src/relay/news/crash_message.rs
+++ b/src/relay/news/crash_message.rs
@@ -5,7 +5,7 @@
     crate::{
         news_capnp::crash_mark,
         relay::policy::{
-            crash_mark::{CrashEntry, CrashReport},
+            crash_report::{CrashEntry, CrashReport},
             digest::RequestDigest,
             loads::EngineKey,
         },
--- a/src/relay/news/limit_message.rs
+++ b/src/relay/news/limit_message.rs
@@ -5,7 +5,7 @@
     crate::{
         news_capnp::{limit_saying, limit_update, news_peer},
         relay::policy::{
-            limit_book::ReportedLimit,
+            limit_tracker::ReportedLimit,
             limit_updates::LimitUpdate,
             loads::EngineKey,
             permit_allocator::{PermitGrant, PermitRequest},
--- a/src/relay/news/message.rs
+++ b/src/relay/news/message.rs
@@ -10,7 +10,7 @@
             config::RelayConfig,
             link::HostEntry,
             policy::{
-                crash_mark::CrashUpdates,
+                crash_report::CrashUpdates,
                 findings_cache::{CachePosition, CacheUpdates},
                 limit_updates::LimitUpdate,
                 loads::{EngineKey, EngineLoad, LoadReport, ServiceDemand},
--- a/src/relay/parts/availability.rs
+++ b/src/relay/parts/availability.rs
@@ -10,7 +10,7 @@
             policy::{
                 availability::ServerAvailability,
                 rotation::RotationWait,
-                server_marks::{BackoffSignal, LeavingSignal, ServerSignals},
+                server_signals::{BackoffSignal, LeavingSignal, ServerSignals},
             },
         },
         web::{PoolUse, PooledAnswer, SendFailure},
--- a/src/relay/parts/crashes.rs
+++ b/src/relay/parts/crashes.rs
@@ -8,9 +8,9 @@
             backend::BackendInfo,
             link::HostEntry,
             policy::{
-                crash_book::{CrashTracker, VerdictChange},
-                crash_mark::{CrashReport, CrashUpdates, StoredVerdict},
                 crash_record::CrashVerdict,
+                crash_report::{CrashReport, CrashUpdates, StoredVerdict},
+                crash_tracker::{CrashTracker, VerdictChange},
                 digest::RequestDigest,
                 findings_cache::{CachePosition, FindingSource},
                 loads::EngineKey,
--- a/src/relay/parts/permits.rs
+++ b/src/relay/parts/permits.rs
@@ -8,7 +8,7 @@
             backend::BackendInfo,
             link::HostEntry,
             policy::{
-                limit_book::{PermitState, PermitWait},
+                limit_tracker::{PermitState, PermitWait},
                 loads::EngineKey,
                 permit_allocator::{PermitAllocator, PermitGrant, PermitRequest},
                 permit_owners::PermitOwners,
--- a/src/relay/parts/server_limits.rs
+++ b/src/relay/parts/server_limits.rs
@@ -8,7 +8,7 @@
             backend::BackendInfo,
             policy::{
                 findings_cache::{CachePosition, CacheUpdates, FindingSource},
-                limit_book::ReportedLimit,
+                limit_tracker::ReportedLimit,
                 limit_updates::{LimitUpdate, LimitUpdates},
                 loads::EngineKey,
                 permit_allocator::PermitRequest,
--- a/src/relay/parts/shared.rs
+++ b/src/relay/parts/shared.rs
@@ -22,8 +22,8 @@
             dialect::{BackendCall, CallDialect},
             policy::{
                 book::BackendBook, budget::WindowBudget, kept::KeptPrompts,
-                limit_book::LimitTracker, line::WaitLine, route::RouteTable, view::BackendFailure,
-                waited::CallerWaits,
+                limit_tracker::LimitTracker, line::WaitLine, route::RouteTable,
+                view::BackendFailure, waited::CallerWaits,
             },
             settings::RelaySettings,
         },
--- a/src/relay/policy/availability.rs
+++ b/src/relay/policy/availability.rs
@@ -4,7 +4,7 @@
 //! A state machine without I/O. It holds entries only for servers whose responses stated one of the two.
 
 use {
-    super::server_marks::{BackoffSignal, LeavingSignal, ServerSignals},
+    super::server_signals::{BackoffSignal, LeavingSignal, ServerSignals},
     faststr::FastStr,
     std::{collections::HashMap, net::SocketAddr, time::Duration},
 };
--- a/src/relay/policy/book.rs
+++ b/src/relay/policy/book.rs
@@ -6,7 +6,7 @@
     super::{
         availability::AvailabilityTracker,
         changes::BackendChanges,
-        limit_book::{LimitTracker, PermitState, PermitWait},
+        limit_tracker::{LimitTracker, PermitState, PermitWait},
         loads::{EngineKey, EngineLoad},
         view::{BackendFailure, BackendView, EJECT_FIRST, FAILURES_TO_EJECT},
     },
--- a/src/relay/policy/crash_record.rs
+++ b/src/relay/policy/crash_record.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        crash_mark::{CrashEntry, CrashReport},
+        crash_report::{CrashEntry, CrashReport},
         digest::RequestDigest,
         loads::EngineKey,
         past_time::PastTime,
--- a/src/relay/policy/crash_mark.rs
+++ b/src/relay/policy/crash_report.rs
@@ -74,5 +74,5 @@
     }
 }
 
-/// The records of a [`CrashTracker`](super::crash_book::CrashTracker) that a peer lacks.
+/// The records of a [`CrashTracker`](super::crash_tracker::CrashTracker) that a peer lacks.
 pub type CrashUpdates = CacheUpdates<CrashReport>;
--- a/src/relay/policy/crash_book.rs
+++ b/src/relay/policy/crash_tracker.rs
@@ -7,8 +7,8 @@
 
 use {
     super::{
-        crash_mark::{CrashReport, CrashUpdates},
         crash_record::{CrashRecord, CrashVerdict, FATAL_CRASHES},
+        crash_report::{CrashReport, CrashUpdates},
         digest::RequestDigest,
         findings_cache::{CachePosition, FindingSource, FindingsCache},
         loads::EngineKey,
--- a/src/relay/policy/engines.rs
+++ b/src/relay/policy/engines.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         book::{self, BackendBook},
-        limit_book::{PermitState, PermitWait},
+        limit_tracker::{PermitState, PermitWait},
         view::BackendView,
     },
     crate::{engine::EngineRole, relay::backend::BackendInfo},
--- a/src/relay/policy/limit_updates.rs
+++ b/src/relay/policy/limit_updates.rs
@@ -6,7 +6,7 @@
 use {
     super::{
         findings_cache::{CachePosition, CacheUpdates, FindingSource, FindingsCache},
-        limit_book::{LIMIT_TTL, ReportedLimit},
+        limit_tracker::{LIMIT_TTL, ReportedLimit},
         loads::EngineKey,
         server_limit::ServerLimit,
     },
--- a/src/relay/policy/mod.rs
+++ b/src/relay/policy/mod.rs
@@ -6,14 +6,15 @@
 pub(crate) mod book;
 pub(crate) mod budget;
 pub(crate) mod changes;
-pub(crate) mod crash_book;
-pub(crate) mod crash_mark;
 pub(crate) mod crash_record;
+pub(crate) mod crash_report;
+pub(crate) mod crash_tracker;
+mod decimal;
 pub(crate) mod digest;
 mod engines;
 pub(crate) mod findings_cache;
 pub(crate) mod kept;
-pub(crate) mod limit_book;
+pub(crate) mod limit_tracker;
 pub(crate) mod limit_updates;
 pub(crate) mod line;
 pub(crate) mod loads;
@@ -21,12 +22,11 @@
 pub(crate) mod pauses;
 pub(crate) mod permit_allocator;
 pub(crate) mod permit_owners;
-mod plain_number;
 pub(crate) mod room;
 pub(crate) mod rotation;
 pub(crate) mod route;
 pub(crate) mod server_limit;
-pub(crate) mod server_marks;
+pub(crate) mod server_signals;
 pub(crate) mod shared_findings;
 pub(crate) mod source;
 pub(crate) mod split;
@@ -35,9 +35,9 @@
 pub(crate) mod waited;
 
 pub use self::{
-    admission::*, availability::*, book::*, budget::*, changes::*, crash_book::*, crash_mark::*,
-    crash_record::*, digest::*, findings_cache::*, kept::*, limit_book::*, limit_updates::*,
-    line::*, loads::*, past_time::*, pauses::*, permit_allocator::*, permit_owners::*, room::*,
-    rotation::*, route::*, server_limit::*, server_marks::*, shared_findings::*, source::*,
-    split::*, subset::*, view::*, waited::*,
+    admission::*, availability::*, book::*, budget::*, changes::*, crash_record::*,
+    crash_report::*, crash_tracker::*, digest::*, findings_cache::*, kept::*, limit_tracker::*,
+    limit_updates::*, line::*, loads::*, past_time::*, pauses::*, permit_allocator::*,
+    permit_owners::*, room::*, rotation::*, route::*, server_limit::*, server_signals::*,
+    shared_findings::*, source::*, split::*, subset::*, view::*, waited::*,
 };
--- a/src/relay/policy/permit_allocator.rs
+++ b/src/relay/policy/permit_allocator.rs
@@ -6,7 +6,8 @@
 
 use {
     super::{
-        limit_book::ReportedLimit, loads::EngineKey, past_time::PastTime, server_limit::ServerLimit,
+        limit_tracker::ReportedLimit, loads::EngineKey, past_time::PastTime,
+        server_limit::ServerLimit,
     },
     crate::account::{BucketRate, RateBucket},
     std::{collections::BTreeMap, time::Duration},
--- a/src/relay/policy/server_limit.rs
+++ b/src/relay/policy/server_limit.rs
@@ -1,6 +1,6 @@
 //! The request rate limit that a backend server states in its responses while it is rate-limited.
 
-use {super::plain_number::parse_decimal, std::fmt};
+use {super::decimal::parse_decimal, std::fmt};
 
 /// Requests a second that a backend server accepts from all hosts together, for as long as its responses state it.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
--- a/src/relay/policy/server_marks.rs
+++ b/src/relay/policy/server_signals.rs
@@ -1,7 +1,7 @@
 //! What a response states about its server, apart from its contents.
 
 use {
-    super::{plain_number::parse_decimal, server_limit::LimitSignal},
+    super::{decimal::parse_decimal, server_limit::LimitSignal},
     std::time::Duration,
 };
 
--- a/src/relay/policy/shared_findings.rs
+++ b/src/relay/policy/shared_findings.rs
@@ -1,6 +1,6 @@
 //! The findings from requests that a host sends to another host in one message.
 
-use super::{crash_mark::CrashReport, limit_updates::LimitUpdate};
+use super::{crash_report::CrashReport, limit_updates::LimitUpdate};
 
 /// The findings of one host or of a whole zone.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
--- a/src/relay/request/plain.rs
+++ b/src/relay/request/plain.rs
@@ -17,7 +17,7 @@
             parts::{permits::ServerPermit, shared::RelayParts},
             policy::{
                 book::{PlainChoice, SendWish},
-                limit_book::PermitWait,
+                limit_tracker::PermitWait,
                 view::BackendFailure,
             },
         },
