--- a/src/relay/news/crash_message.rs
+++ b/src/relay/news/crash_message.rs
@@ -30,8 +30,8 @@
     for (index, age) in mark.trials.iter().enumerate() {
         trials.set(index as u32, message::to_ms(Some(*age)));
     }
-    let mut ends = to.init_ends(mark.ends.len() as u32);
-    for (index, end) in mark.ends.iter().enumerate() {
+    let mut ends = to.init_ends(mark.crashes.len() as u32);
+    for (index, end) in mark.crashes.iter().enumerate() {
         let mut place = ends.reborrow().get(index as u32);
         place.set_run(end.run.0);
         place.set_age_ms(message::to_ms(Some(end.age)));
@@ -52,7 +52,7 @@
     });
     Ok(CrashReport {
         digest: whole(from.get_high(), from.get_low()),
-        ends: ends.collect(),
+        crashes: ends.collect(),
         trials: from.get_trials_ms()?.iter().map(age).collect(),
         seen: age(from.get_seen_ms()),
     })
--- a/src/relay/policy/crash_record.rs
+++ b/src/relay/policy/crash_record.rs
@@ -57,7 +57,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CrashRecord {
     // Sorted by run.
-    ends: Vec<ServerCrash>,
+    crashes: Vec<ServerCrash>,
     // When each trial began.
     trials: Vec<PastTime>,
     // When the request was last received, or last running on a server that crashed.
@@ -68,7 +68,7 @@
     /// A record without crashes.
     pub fn new(now: PastTime) -> Self {
         Self {
-            ends: Vec::new(),
+            crashes: Vec::new(),
             trials: Vec::new(),
             seen: now,
         }
@@ -78,11 +78,11 @@
     pub fn from_report(report: &CrashReport, now: Duration) -> Self {
         let ago = |age: Duration| PastTime::at(now).before(age);
         let mut record = Self::new(ago(report.seen));
-        for end in &report.ends {
+        for crash in &report.crashes {
             record.add(ServerCrash {
-                run: end.run,
-                at: ago(end.age),
-                is_excused: end.is_excused,
+                run: crash.run,
+                at: ago(crash.age),
+                is_excused: crash.is_excused,
             });
         }
         let trials: Vec<PastTime> = report.trials.iter().copied().map(ago).collect();
@@ -92,14 +92,14 @@
 
     /// The record in the form sent to other hosts.
     pub fn report(&self, digest: RequestDigest, now: Duration) -> CrashReport {
-        let ends = self.ends.iter().map(|end| CrashEntry {
-            run: end.run,
-            age: end.at.age(now),
-            is_excused: end.is_excused,
+        let crashes = self.crashes.iter().map(|crash| CrashEntry {
+            run: crash.run,
+            age: crash.at.age(now),
+            is_excused: crash.is_excused,
         });
         CrashReport {
             digest,
-            ends: ends.collect(),
+            crashes: crashes.collect(),
             trials: self.trials.iter().map(|at| at.age(now)).collect(),
             seen: self.seen.age(now),
         }
@@ -112,12 +112,15 @@
 
     /// The number of crashes, excused ones included.
     pub fn crash_count(&self) -> usize {
-        self.ends.len()
+        self.crashes.len()
     }
 
     /// The number of crashes that count; each server run counts once, however many hosts saw it crash.
     pub fn counted_crashes(&self) -> usize {
-        self.ends.iter().filter(|end| !end.is_excused).count()
+        self.crashes
+            .iter()
+            .filter(|crash| !crash.is_excused)
+            .count()
     }
 
     /// Records the crash of a run. Returns whether it was not known before.
@@ -133,8 +136,8 @@
     /// Excuses all crashes so far, because the request completed. Returns whether any of them counted.
     pub fn excuse(&mut self) -> bool {
         let any_counted = self.counted_crashes() > 0;
-        for end in &mut self.ends {
-            end.is_excused = true;
+        for crash in &mut self.crashes {
+            crash.is_excused = true;
         }
         any_counted
     }
@@ -160,8 +163,8 @@
     /// Merges another host's record. Returns whether this record changed.
     pub fn merge(&mut self, other: &CrashRecord) -> bool {
         let before = self.clone();
-        for end in &other.ends {
-            self.add(*end);
+        for crash in &other.crashes {
+            self.add(*crash);
         }
         self.add_trials(&other.trials);
         self.record_seen(other.seen);
@@ -178,8 +181,10 @@
     }
 
     fn fatal_verdict(&self, now: Duration) -> CrashVerdict {
-        let counted = self.ends.iter().filter(|end| !end.is_excused);
-        let events = counted.map(|end| end.at).chain(self.trials.iter().copied());
+        let counted = self.crashes.iter().filter(|crash| !crash.is_excused);
+        let events = counted
+            .map(|crash| crash.at)
+            .chain(self.trials.iter().copied());
         let since = events.max().map_or(Duration::ZERO, |last| last.age(now));
         let Some(delay) = TRIAL_DELAYS.get(self.trials.len()) else {
             // Rejected for as long as it is being received.
@@ -193,16 +198,19 @@
 
     // Keeps the earliest time of a crash: the delay of each transmission makes it seem later, and a time that moved
     // with each message would be sent forever.
-    fn add(&mut self, end: ServerCrash) -> bool {
-        match self.ends.binary_search_by_key(&end.run, |known| known.run) {
+    fn add(&mut self, crash: ServerCrash) -> bool {
+        match self
+            .crashes
+            .binary_search_by_key(&crash.run, |known| known.run)
+        {
             Ok(index) => {
-                let known = &mut self.ends[index];
-                known.at = known.at.min(end.at);
-                known.is_excused |= end.is_excused;
+                let known = &mut self.crashes[index];
+                known.at = known.at.min(crash.at);
+                known.is_excused |= crash.is_excused;
                 false
             }
             Err(index) => {
-                self.ends.insert(index, end);
+                self.crashes.insert(index, crash);
                 self.drop_oldest();
                 true
             }
@@ -210,13 +218,13 @@
     }
 
     fn drop_oldest(&mut self) {
-        if self.ends.len() <= MAX_RUNS {
+        if self.crashes.len() <= MAX_RUNS {
             return;
         }
-        let oldest = self.ends.iter().enumerate();
-        let oldest = oldest.min_by_key(|(_, end)| (!end.is_excused, end.at, end.run));
+        let oldest = self.crashes.iter().enumerate();
+        let oldest = oldest.min_by_key(|(_, crash)| (!crash.is_excused, crash.at, crash.run));
         if let Some((index, _)) = oldest {
-            self.ends.remove(index);
+            self.crashes.remove(index);
         }
     }
 
--- a/src/relay/policy/crash_report.rs
+++ b/src/relay/policy/crash_report.rs
@@ -25,7 +25,8 @@
     /// The digest of the request.
     pub digest: RequestDigest,
     /// The server runs that crashed while they were running it.
-    pub ends: Vec<CrashEntry>,
+    #[serde(rename = "ends")]
+    pub crashes: Vec<CrashEntry>,
     /// How long ago each trial was.
     pub trials: Vec<Duration>,
     /// How long ago the request was last seen.
@@ -49,10 +50,10 @@
 impl StoredVerdict {
     /// The stored form of a record; excused crashes are left out.
     pub fn of(report: &CrashReport) -> Self {
-        let counted = report.ends.iter().filter(|end| !end.is_excused);
+        let counted = report.crashes.iter().filter(|crash| !crash.is_excused);
         Self {
             digest: FastStr::from_string(format!("{:032x}", report.digest.0)),
-            runs: counted.map(|end| end.run.0).collect(),
+            runs: counted.map(|crash| crash.run.0).collect(),
             trials: report.trials.len() as u8,
         }
     }
@@ -60,14 +61,14 @@
     /// The record, with all ages zero; `None` if the digest is not valid hexadecimal.
     pub fn report(&self) -> Option<CrashReport> {
         let digest = u128::from_str_radix(&self.digest, 16).ok()?;
-        let ends = self.runs.iter().map(|run| CrashEntry {
+        let crashes = self.runs.iter().map(|run| CrashEntry {
             run: EngineKey(*run),
             age: Duration::ZERO,
             is_excused: false,
         });
         Some(CrashReport {
             digest: RequestDigest(digest),
-            ends: ends.collect(),
+            crashes: crashes.collect(),
             trials: vec![Duration::ZERO; usize::from(self.trials)],
             seen: Duration::ZERO,
         })
--- a/tests/fleet_sim/crashes.rs
+++ b/tests/fleet_sim/crashes.rs
@@ -52,7 +52,7 @@
 fn bytes_of(marks: &[CrashReport]) -> u64 {
     let sizes = marks.iter();
     sizes
-        .map(|mark| MARK_BYTES + END_BYTES * mark.ends.len() as u64)
+        .map(|mark| MARK_BYTES + END_BYTES * mark.crashes.len() as u64)
         .sum()
 }
 
