--- a/src/relay/policy/server_signals.rs
+++ b/src/relay/policy/server_signals.rs
@@ -13,13 +13,13 @@
 pub struct ServerSignals {
     /// How many requests a second it accepts.
     pub limit: LimitSignal,
-    /// Whether it is shutting down.
+    /// Whether it is leaving.
     pub leaving: LeavingSignal,
     /// For how long it asks this host to send no requests.
     pub backoff: BackoffSignal,
 }
 
-/// Whether a response states that its server is leaving, that is, about to shut down.
+/// Whether a response states that its server is leaving: its run accepts no more requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum LeavingSignal {
     /// It does not.
--- a/tests/relay_crash_innocents.rs
+++ b/tests/relay_crash_innocents.rs
@@ -320,15 +320,15 @@
     fn exchange(&mut self) {
         let now = time(self.now);
         for host in &mut self.hosts {
-            let marks = host.crashes.reported_since(Some(host.sent_revision), now);
+            let reports = host.crashes.reported_since(Some(host.sent_revision), now);
             host.sent_revision = host.crashes.position().revision;
-            self.hub.merge(&marks, FindingSource::Reported, now);
+            self.hub.merge(&reports, FindingSource::Reported, now);
         }
         for host in &mut self.hosts {
-            let news = self.hub.updates_since(host.place, now);
+            let updates = self.hub.updates_since(host.place, now);
             host.crashes
-                .merge(&news.findings, FindingSource::Distributed, now);
-            host.place = news.position;
+                .merge(&updates.findings, FindingSource::Distributed, now);
+            host.place = updates.position;
         }
     }
 
--- a/tests/relay_crashes.rs
+++ b/tests/relay_crashes.rs
@@ -34,10 +34,10 @@
 }
 
 // All records that a book would send to any host.
-fn all_marks(book: &CrashTracker, now: Duration) -> Vec<CrashReport> {
-    let mut marks = book.updates_since(CachePosition::default(), now).findings;
-    marks.extend(book.reported_since(Some(0), now));
-    marks
+fn all_reports(book: &CrashTracker, now: Duration) -> Vec<CrashReport> {
+    let mut reports = book.updates_since(CachePosition::default(), now).findings;
+    reports.extend(book.reported_since(Some(0), now));
+    reports
 }
 
 #[test]
@@ -71,7 +71,7 @@
         let mut other = CrashTracker::new(host);
         other.record_crash(FATAL, run(0), now);
         other.record_crash(FATAL, run(1), now);
-        book.merge(&all_marks(&other, now), FindingSource::Reported, now);
+        book.merge(&all_reports(&other, now), FindingSource::Reported, now);
     }
     assert_eq!(book.verdict(FATAL, now), CrashVerdict::Suspected(2));
 }
@@ -83,7 +83,7 @@
     book.record_success(FATAL, now);
     assert_eq!(book.verdict(FATAL, now), CrashVerdict::Harmless);
     // The same crashes from a host that does not know that the request completed.
-    let late = all_marks(&book_with_crashes(3, now), now);
+    let late = all_reports(&book_with_crashes(3, now), now);
     book.merge(&late, FindingSource::Distributed, now);
     assert_eq!(book.verdict(FATAL, now), CrashVerdict::Harmless);
     book.record_crash(FATAL, run(9), now);
@@ -116,14 +116,14 @@
     for digest in 100..120 {
         book.record_crash(RequestDigest(digest), run(1), now);
     }
-    let news = book.updates_since(CachePosition::default(), now);
+    let updates = book.updates_since(CachePosition::default(), now);
     assert!(
-        news.findings.is_empty(),
+        updates.findings.is_empty(),
         "a single crash is not sent to all hosts"
     );
     assert_eq!(book.reported_since(None, now).len(), 20);
     book.record_crash(RequestDigest(100), run(2), now);
-    let next = book.updates_since(news.position, now);
+    let next = book.updates_since(updates.position, now);
     assert_eq!(next.findings.len(), 1);
     assert!(book.updates_since(next.position, now).findings.is_empty());
     book.record_success(RequestDigest(100), now);
@@ -142,10 +142,10 @@
     let mut now = seconds(10);
     let mut changes = 0;
     for turn in 0..1_000 {
-        let marks = all_marks(&books[turn % 2], now);
+        let reports = all_reports(&books[turn % 2], now);
         now += Duration::from_micros(3_700);
         let before = books[(turn + 1) % 2].position();
-        books[(turn + 1) % 2].merge(&marks, FindingSource::Reported, now);
+        books[(turn + 1) % 2].merge(&reports, FindingSource::Reported, now);
         changes += u32::from(books[(turn + 1) % 2].position() != before);
     }
     assert_eq!(changes, 1);
@@ -190,7 +190,7 @@
             2 => {
                 books[at].record_success(digest, now);
             }
-            3 => messages.push(all_marks(&books[at], now)),
+            3 => messages.push(all_reports(&books[at], now)),
             // Messages arrive repeatedly, late and out of order.
             4 if !messages.is_empty() => {
                 let message = &messages[usize::from(*what) % messages.len()];
@@ -199,7 +199,7 @@
             4 => {}
             // A restarted host receives the records of another one.
             _ => {
-                let received = all_marks(&books[(at + 1) % books.len()], now);
+                let received = all_reports(&books[(at + 1) % books.len()], now);
                 books[at] = CrashTracker::new(u64::from(*what) + 100);
                 books[at].merge(&received, FindingSource::Distributed, now);
             }
@@ -218,8 +218,8 @@
             // All books exchange all records, senders and receivers in opposite orders.
             for _ in 0..2 {
                 for (from, to) in (0..4).flat_map(|from| (0..4).rev().map(move |to| (from, to))) {
-                    let marks = all_marks(&books[from], now);
-                    books[to].merge(&marks, FindingSource::Reported, now);
+                    let reports = all_reports(&books[from], now);
+                    books[to].merge(&reports, FindingSource::Reported, now);
                 }
             }
             for digest in (0..3).map(RequestDigest) {
@@ -240,9 +240,9 @@
     // For two hours, one of seven hosts receives the request each second. Each send crashes a server.
     let mut books: Vec<CrashTracker> = (1..=7).map(CrashTracker::new).collect();
     let first = book_with_crashes(3, seconds(10));
-    let marks = all_marks(&first, seconds(10));
+    let reports = all_reports(&first, seconds(10));
     for book in &mut books {
-        book.merge(&marks, FindingSource::Distributed, seconds(10));
+        book.merge(&reports, FindingSource::Distributed, seconds(10));
     }
     let mut sends = 0;
     for second in 11..7_200_u64 {
@@ -259,7 +259,10 @@
             sends += 1;
             books[at].record_crash(FATAL, run(100 + sends), now);
         }
-        let told: Vec<CrashReport> = books.iter().flat_map(|book| all_marks(book, now)).collect();
+        let told: Vec<CrashReport> = books
+            .iter()
+            .flat_map(|book| all_reports(book, now))
+            .collect();
         for book in &mut books {
             book.merge(&told, FindingSource::Distributed, now);
         }
--- a/tests/relay_server_limits.rs
+++ b/tests/relay_server_limits.rs
@@ -13,11 +13,11 @@
 
 const NOW: Duration = Duration::from_millis(40);
 
-fn read(values: &[&str]) -> LimitSignal {
+fn parse(values: &[&str]) -> LimitSignal {
     LimitSignal::parse(values.iter().map(|value| value.as_bytes()))
 }
 
-fn named(limit: f64) -> LimitSignal {
+fn limited(limit: f64) -> LimitSignal {
     LimitSignal::Limited(ServerLimit::new(limit).unwrap())
 }
 
@@ -30,9 +30,9 @@
         (" 0.01 ", 0.01),
         (".5", 0.5),
     ] {
-        assert_eq!(read(&[text]), named(limit), "{text:?}");
+        assert_eq!(parse(&[text]), limited(limit), "{text:?}");
     }
-    assert_eq!(read(&[]), LimitSignal::Absent);
+    assert_eq!(parse(&[]), LimitSignal::Absent);
 }
 
 #[test]
@@ -41,9 +41,9 @@
     for text in [
         "", " ", "-1", "-0", "nan", "inf", "1e9", "3/s", "1,9", "1.2.3", ".", &long, "\u{663}",
     ] {
-        assert_eq!(read(&[text]), LimitSignal::Invalid, "{text:?}");
+        assert_eq!(parse(&[text]), LimitSignal::Invalid, "{text:?}");
     }
-    assert_eq!(read(&["3", "3"]), LimitSignal::Invalid, "two values");
+    assert_eq!(parse(&["3", "3"]), LimitSignal::Invalid, "two values");
 }
 
 fn reported(limit: Option<f64>, as_of: u64) -> ReportedLimit {
--- a/tests/server_availability.rs
+++ b/tests/server_availability.rs
@@ -20,11 +20,11 @@
     Duration::from_millis(count)
 }
 
-fn read_leaving(values: &[&str]) -> LeavingSignal {
+fn parse_leaving(values: &[&str]) -> LeavingSignal {
     LeavingSignal::parse(values.iter().map(|value| value.as_bytes()))
 }
 
-fn read_backoff(values: &[&str]) -> BackoffSignal {
+fn parse_backoff(values: &[&str]) -> BackoffSignal {
     BackoffSignal::parse(values.iter().map(|value| value.as_bytes()))
 }
 
@@ -43,7 +43,7 @@
         (&["1, 1"], LeavingSignal::Invalid),
         (&["-1"], LeavingSignal::Invalid),
     ] {
-        assert_eq!(read_leaving(values), signal, "{values:?}");
+        assert_eq!(parse_leaving(values), signal, "{values:?}");
     }
 }
 
@@ -62,19 +62,19 @@
         "Thu, 03 Dec 2026 10:00:00 GMT",
         &long,
     ] {
-        assert_eq!(read_backoff(&[text]), BackoffSignal::Invalid, "{text:?}");
+        assert_eq!(parse_backoff(&[text]), BackoffSignal::Invalid, "{text:?}");
     }
-    assert_eq!(read_backoff(&[]), BackoffSignal::Absent);
-    assert_eq!(read_backoff(&["1", "1"]), BackoffSignal::Invalid);
+    assert_eq!(parse_backoff(&[]), BackoffSignal::Absent);
+    assert_eq!(parse_backoff(&["1", "1"]), BackoffSignal::Invalid);
     assert_eq!(
-        read_backoff(&["2.5"]),
+        parse_backoff(&["2.5"]),
         BackoffSignal::Backoff(millis(2_500))
     );
 }
 
 #[test]
 fn a_huge_backoff_is_limited() {
-    let signal = read_backoff(&["1000000000"]);
+    let signal = parse_backoff(&["1000000000"]);
     assert_eq!(signal, BackoffSignal::Backoff(MAX_BACKOFF));
     let mut book = BackendBook::default();
     let server = backend("a", "z", None);
