--- /dev/null
+++ b/src/relay/cluster/state.rs
@@ -0,0 +1,393 @@
+//! The cluster state known to a host: the configuration, the backend servers and the other hosts.
+//!
+//! A state machine without I/O: data read from the store or received from another host goes in, the state in force
+//! comes out. A newer version is never replaced by an older one, even if the store was restored from a backup that
+//! contains the older one.
+
+use {
+    super::{backend_list::BackendList, history::KindNews, host_list::HostList},
+    crate::{
+        relay::{
+            backend::BackendInfo,
+            config::RelayConfig,
+            link::{HostEntry, StoreChange, StoreKind},
+            policy::{past_time::PastTime, route::RouteTable},
+        },
+        store::StorePosition,
+    },
+    std::{rc::Rc, time::Duration},
+};
+
+/// How long after the end of a store outage a missing entry is assumed to have expired because of the outage.
+const OUTAGE_WINDOW: Duration = Duration::from_secs(3);
+
+/// Minimum number of heartbeat intervals between the start of a store outage and the expiry of a backend server's
+/// entry. An entry expires after three intervals without a heartbeat, and a heartbeat may have been due just as the
+/// outage began. A server whose entry is removed after a shorter outage has left on its own.
+const HEARTBEATS_TO_EXPIRY: u32 = 2;
+
+/// Default interval at which backend servers renew their entries.
+const DEFAULT_HEARTBEAT: Duration = Duration::from_secs(1);
+
+/// The configuration, backend servers and hosts known to a host, and how recent that knowledge is.
+#[derive(Debug)]
+pub struct ClusterState {
+    routes: Option<Rc<RouteTable>>,
+    backends: BackendList,
+    hosts: HostList,
+    // The latest store era observed, and when a restore was last detected.
+    era: u32,
+    last_restore: Option<StoreRestore>,
+    restores: u32,
+    // How long operators and servers have to rewrite what a restored store lacks.
+    rewrite_time: Duration,
+    // The shortest store outage in which entries can expire for lack of heartbeats.
+    min_outage: Duration,
+    // When the last outage of at least that length ended, as observed by this host or reported by another.
+    last_outage_end: Option<Duration>,
+    // The latest time at which the configuration and the list of backend servers are known to have been up to date.
+    config_confirmed_at: Option<PastTime>,
+    backends_confirmed_at: Option<PastTime>,
+    // The latest time at which the configuration was proved up to date: a request sent then found nothing newer.
+    config_proved_at: Option<PastTime>,
+    // When the list of backend servers was last read from the store, even if from a lagging replica.
+    backends_read_at: Option<Duration>,
+    // The store does not respond to this host, or to the host that it follows.
+    store_lost: bool,
+}
+
+/// A detected restore of the store.
+#[derive(Debug, Clone, Copy)]
+struct StoreRestore {
+    detected_at: Duration,
+    // The lists that are shared with other hosts have been read again.
+    is_reread: bool,
+}
+
+impl Default for ClusterState {
+    fn default() -> Self {
+        Self::new(DEFAULT_HEARTBEAT)
+    }
+}
+
+impl ClusterState {
+    /// An empty state; backend servers renew their entries every `heartbeat`.
+    pub fn new(heartbeat: Duration) -> Self {
+        Self {
+            routes: None,
+            backends: BackendList::new(heartbeat),
+            hosts: HostList::default(),
+            era: 0,
+            last_restore: None,
+            restores: 0,
+            rewrite_time: heartbeat,
+            min_outage: heartbeat.saturating_mul(HEARTBEATS_TO_EXPIRY),
+            last_outage_end: None,
+            config_confirmed_at: None,
+            backends_confirmed_at: None,
+            config_proved_at: None,
+            backends_read_at: None,
+            store_lost: false,
+        }
+    }
+
+    /// Sets whether the store fails to respond to this host, if it reads the store itself, or to the host it follows.
+    pub fn set_store_lost(&mut self, is_lost: bool) {
+        self.store_lost = is_lost;
+    }
+
+    /// Whether the store fails to respond, as last set by [`Self::set_store_lost`].
+    pub fn is_store_lost(&self) -> bool {
+        self.store_lost
+    }
+
+    /// The routes in force.
+    pub fn routes(&self) -> Option<Rc<RouteTable>> {
+        self.routes.clone()
+    }
+
+    /// Version of the configuration in force; 0 if there is none.
+    pub fn config_version(&self) -> u64 {
+        self.routes
+            .as_ref()
+            .map_or(0, |routes| routes.config().version)
+    }
+
+    /// The store position that the list of backend servers reflects.
+    pub fn backends_position(&self) -> StorePosition {
+        self.backends.position()
+    }
+
+    /// Number of lists and batches of changes of backend servers that were applied.
+    pub fn backend_update_count(&self) -> u64 {
+        self.backends.update_count()
+    }
+
+    /// The store position that the list of hosts reflects.
+    pub fn hosts_position(&self) -> StorePosition {
+        self.hosts.position()
+    }
+
+    /// The latest store era observed.
+    pub fn era(&self) -> u32 {
+        self.era
+    }
+
+    /// Number of store restores detected since the host started.
+    pub fn restores(&self) -> u32 {
+        self.restores
+    }
+
+    /// Records an era reported by the store or another host. Returns the previous era if the new one shows that the
+    /// store was restored.
+    pub fn record_era(&mut self, era: u32, now: Duration) -> Option<u32> {
+        if era <= self.era {
+            return None;
+        }
+        let before = std::mem::replace(&mut self.era, era);
+        let knows_more = self.backends_position().is_known() || self.hosts_position().is_known();
+        if before == 0 && !knows_more {
+            return None;
+        }
+        self.restores += 1;
+        self.last_restore = Some(StoreRestore {
+            detected_at: now,
+            is_reread: false,
+        });
+        Some(before)
+    }
+
+    /// Whether all lists have been read again since the last restore; returns true once per restore.
+    pub fn take_reread_complete(&mut self) -> bool {
+        let era = self.era;
+        let is_read = self.backends_position().era == era && self.hosts_position().era == era;
+        match &mut self.last_restore {
+            Some(restore) if is_read && !restore.is_reread => {
+                restore.is_reread = true;
+                true
+            }
+            _ => false,
+        }
+    }
+
+    // Whether a read at this time returns all accepted writes: what a restored store has lost must first be rewritten.
+    fn is_rewritten(&self, at: PastTime) -> bool {
+        let is_rewritten = |restore: StoreRestore| {
+            let rewritten = restore.detected_at.saturating_add(self.rewrite_time);
+            at >= PastTime::at(rewritten)
+        };
+        self.last_restore.is_none_or(is_rewritten)
+    }
+
+    /// Records that the state known of a kind was up to date at this time of the host's clock.
+    pub fn confirm(&mut self, kind: StoreKind, at: Duration) {
+        self.confirm_at(kind, PastTime::at(at));
+    }
+
+    /// Records that the state known of a kind was up to date at this time, which may precede the host's start.
+    pub fn confirm_at(&mut self, kind: StoreKind, at: PastTime) {
+        let confirmed = match kind {
+            StoreKind::Config => &mut self.config_confirmed_at,
+            StoreKind::Backends => {
+                self.backends.set_unconfirmed(false);
+                &mut self.backends_confirmed_at
+            }
+            StoreKind::Hosts => return self.hosts.set_unconfirmed(false),
+            StoreKind::Leases => return,
+        };
+        *confirmed = Some(confirmed.map_or(at, |before| before.max(at)));
+    }
+
+    /// Records that the configuration was proved up to date at this time, which may precede the host's start: it was
+    /// read from the store, or another host reports so. A read from a restored store proves nothing until lost writes
+    /// have had time to be repeated.
+    pub fn prove_config(&mut self, at: PastTime) {
+        if self.is_before_restore(at) || self.is_rewritten(at) {
+            self.config_proved_at = self.config_proved_at.max(Some(at));
+        }
+    }
+
+    fn is_before_restore(&self, at: PastTime) -> bool {
+        let restore = self.last_restore.as_ref();
+        restore.is_some_and(|restore| at < PastTime::at(restore.detected_at))
+    }
+
+    /// How long ago the configuration was last proved up to date; none if it never was.
+    pub fn proof_age(&self, now: Duration) -> Option<Duration> {
+        Some(self.config_proved_at?.age(now))
+    }
+
+    /// The latest time at which both the configuration and the backend servers are known to have been up to date;
+    /// none until both are known.
+    pub fn confirmed(&self) -> Option<PastTime> {
+        Some(self.config_confirmed_at?.min(self.backends_confirmed_at?))
+    }
+
+    /// Maximum age of the configuration and the backend servers, whichever is older; none until both are known.
+    pub fn age(&self, now: Duration) -> Option<Duration> {
+        Some(self.confirmed()?.age(now))
+    }
+
+    /// Puts a configuration in force if it is newer than the current one, and returns whether it was.
+    pub fn update_config(&mut self, config: RelayConfig) -> bool {
+        let before = self.config_version();
+        if config.version <= before {
+            return false;
+        }
+        self.routes = Some(Rc::new(RouteTable::new(config)));
+        assert!(
+            self.config_version() > before,
+            "a configuration never reverts"
+        );
+        true
+    }
+
+    /// Records that the list of backend servers was read from the store, even if from a lagging replica: entries
+    /// missing from the next read were removed after this one.
+    pub fn record_backends_read(&mut self, now: Duration) {
+        self.backends_read_at = Some(now);
+    }
+
+    /// Records that a store outage ended at this time.
+    pub fn record_outage(&mut self, ended: Duration) {
+        self.last_outage_end = self.last_outage_end.max(Some(ended));
+    }
+
+    /// How long ago the last store outage ended, if there was one.
+    pub fn outage_age(&self, now: Duration) -> Option<Duration> {
+        self.last_outage_end.map(|ended| now.saturating_sub(ended))
+    }
+
+    // A list that arrives after nobody could refresh it for the minimum outage time marks the end of an outage.
+    fn detect_outage(&mut self, now: Duration) {
+        let read = self.backends_read_at.map(PastTime::at);
+        let known = self.backends_confirmed_at.max(read);
+        if known.is_some_and(|at| at.age(now) >= self.min_outage) {
+            self.record_outage(now);
+        }
+    }
+
+    fn had_outage(&self, now: Duration) -> bool {
+        self.outage_age(now).is_some_and(|age| age < OUTAGE_WINDOW)
+    }
+
+    /// Replaces the list of backend servers by that of a position, unless a newer one is known.
+    pub fn set_backends(
+        &mut self,
+        list: Vec<BackendInfo>,
+        position: StorePosition,
+        now: Duration,
+    ) -> bool {
+        if position < self.backends_position() {
+            return false;
+        }
+        self.detect_outage(now);
+        let had_outage = self.had_outage(now);
+        self.backends.set(list, &[], position, had_outage, now)
+    }
+
+    /// Marks the list of a kind that was just set as read from a replica that may lag.
+    pub fn mark_unconfirmed(&mut self, kind: StoreKind) {
+        match kind {
+            StoreKind::Backends => self.backends.set_unconfirmed(true),
+            StoreKind::Hosts => self.hosts.set_unconfirmed(true),
+            StoreKind::Config | StoreKind::Leases => {}
+        }
+    }
+
+    /// Forgets the revision up to which a kind is known, if its list is marked as possibly lagging: the store does not
+    /// have that revision.
+    pub fn forget_unconfirmed(&mut self, kind: StoreKind) {
+        match kind {
+            StoreKind::Backends => self.backends.forget_unconfirmed(),
+            StoreKind::Hosts => self.hosts.forget_unconfirmed(),
+            StoreKind::Config | StoreKind::Leases => {}
+        }
+    }
+
+    /// Applies changes of backend servers up to a position, unless a newer one is known.
+    pub fn change_backends(
+        &mut self,
+        changes: Vec<StoreChange>,
+        position: StorePosition,
+        now: Duration,
+    ) {
+        if position < self.backends_position() {
+            return;
+        }
+        self.detect_outage(now);
+        let had_outage = self.had_outage(now);
+        self.backends.change(changes, position, had_outage, now);
+    }
+
+    /// Applies an update of the backend servers received from another host.
+    pub fn apply_backend_news(&mut self, news: KindNews, now: Duration) {
+        if news.position < self.backends_position() {
+            return;
+        }
+        self.detect_outage(now);
+        let had_outage = self.had_outage(now);
+        self.backends.apply_news(news, had_outage, now);
+    }
+
+    /// The update of the backend servers for another host that knows them up to `held`.
+    pub fn backend_news(&self, held: StorePosition) -> KindNews {
+        self.backends.news(held)
+    }
+
+    /// Evicts entries whose retention time is over, and returns whether the set of usable backend servers changed.
+    pub fn expire(&mut self, now: Duration) -> bool {
+        self.hosts.expire(now);
+        self.backends.expire(now)
+    }
+
+    /// The backend servers that may be used.
+    pub fn usable(&self) -> Vec<BackendInfo> {
+        self.backends.usable()
+    }
+
+    /// The backend servers that are listed.
+    pub fn backends(&self) -> impl Iterator<Item = &BackendInfo> {
+        self.backends.listed()
+    }
+
+    /// Replaces the list of hosts by that of a position, unless a newer one is known.
+    pub fn set_hosts(
+        &mut self,
+        hosts: Vec<HostEntry>,
+        position: StorePosition,
+        now: Duration,
+    ) -> bool {
+        self.hosts.set(hosts, position, now)
+    }
+
+    /// Applies changes of hosts up to a position, unless a newer one is known.
+    pub fn change_hosts(&mut self, changes: Vec<StoreChange>, position: StorePosition) {
+        self.hosts.change(changes, position);
+    }
+
+    /// Applies an update of the hosts received from another host.
+    pub fn apply_host_news(&mut self, news: KindNews, now: Duration) {
+        self.hosts.apply_news(news, now);
+    }
+
+    /// The update of the hosts for another host that knows them up to `held`.
+    pub fn host_news(&self, held: StorePosition) -> KindNews {
+        self.hosts.news(held)
+    }
+
+    /// The known hosts.
+    pub fn hosts(&self) -> impl Iterator<Item = &HostEntry> + Clone {
+        self.hosts.entries()
+    }
+
+    /// Whether the store lists exactly this entry of a host.
+    pub fn is_host_listed(&self, entry: &HostEntry) -> bool {
+        self.hosts.is_listed(entry)
+    }
+
+    /// Number of known hosts; at least 1, for this host.
+    pub fn host_count(&self) -> usize {
+        self.hosts.count().max(1)
+    }
+}
--- a/src/relay/request/prefill.rs
+++ b/src/relay/request/prefill.rs
@@ -172,7 +172,7 @@
     guard: &CallGuard,
 ) -> Result<PromptCache, PrefillFailure> {
     let dialect = &parts.dialect;
-    let request = call.request_to(engine, dialect, dialect.engines.as_prefill);
+    let request = call.request_to(engine, dialect, dialect.engines.prepare_prefill);
     let sent = parts.send_to(engine, PoolUse::Prefill, request, None).await;
     let answer = sent.map_err(|failure| {
         if failure.verdict == RunVerdict::NotRun {
@@ -188,7 +188,7 @@
     })?;
     let (status, marks) = (
         answer.status,
-        (dialect.read_answer)(answer.status, &answer.headers),
+        (dialect.read_response)(answer.status, &answer.headers),
     );
     guard.note_marks(status, &marks);
     let body = answer.body.read(ANSWER_LIMIT).await;
@@ -211,7 +211,7 @@
             detail: format!("declined with status {status}"),
         });
     }
-    let is_ours = !marks.is_anothers(&call.marks.id);
+    let is_ours = !marks.is_for_other_request(&call.marks.id);
     let cache =
         (dialect.engines.read_prefill)(&body).filter(|_| is_ours && status == StatusCode::OK);
     cache.ok_or_else(|| PrefillFailure {
