--- a/src/relay/news/limit_message.rs
+++ b/src/relay/news/limit_message.rs
@@ -39,11 +39,7 @@
 
 fn read_limit(per_second: f64) -> Result<ServerLimit> {
     let limit = ServerLimit::new(per_second);
-    limit.ok_or_else(|| {
-        Error::failed(format!(
-            "invalid rate limit: {per_second} requests per second"
-        ))
-    })
+    limit.ok_or_else(|| Error::failed(format!("{per_second} is no limit")))
 }
 
 /// Encodes a request for permits.
--- a/src/relay/news/message.rs
+++ b/src/relay/news/message.rs
@@ -180,7 +180,7 @@
     let address = text.parse();
     address
         .map(Some)
-        .map_err(|_| Error::failed(format!("invalid address: {text:?}")))
+        .map_err(|_| Error::failed(format!("{text:?} is no address")))
 }
 
 /// Decodes what the requester has; fails if it is malformed.
--- a/src/relay/news/rpc.rs
+++ b/src/relay/news/rpc.rs
@@ -115,7 +115,7 @@
         let params = params.get()?;
         let account = AccountKey(params.get_account());
         let answer = (self.handlers.charges)(account, params.get_units());
-        let answer = answer.ok_or_else(|| Error::failed("unknown account".into()))?;
+        let answer = answer.ok_or_else(|| Error::failed("the account is not known here".into()))?;
         let mut results = results.get();
         match answer {
             Ok(()) => results.set_is_let_in(true),
