--- a/src/relay/dialect.rs
+++ b/src/relay/dialect.rs
@@ -5,8 +5,8 @@
 
 use {
     super::policy::{
-        server_limit::LimitMark,
-        server_marks::{BackoffMark, LeavingMark, ServerMarks},
+        server_limit::LimitSignal,
+        server_signals::{BackoffSignal, LeavingSignal, ServerSignals},
     },
     crate::{account::ShownKey, engine::EngineRole, web::PoolUse},
     bytes::Bytes,
@@ -45,7 +45,7 @@
     /// Whether the backend server states that the request did not run.
     pub not_run: bool,
     /// The state that the server reports of itself.
-    pub server: ServerMarks,
+    pub server: ServerSignals,
 }
 
 impl ResponseMetadata {
@@ -69,18 +69,18 @@
     status: StatusCode,
     headers: &HeaderMap,
     names: &ServerHeaders,
-) -> ServerMarks {
+) -> ServerSignals {
     let values = |name: &HeaderName| headers.get_all(name).iter().map(HeaderValue::as_bytes);
-    ServerMarks {
-        limit: LimitMark::read(values(&names.limit)),
+    ServerSignals {
+        limit: LimitSignal::parse(values(&names.limit)),
         leaving: match status {
             // Sent by another run that now has the address; its state says nothing about the run that was called.
-            StatusCode::MISDIRECTED_REQUEST => LeavingMark::Unsaid,
-            _ => LeavingMark::read(values(&names.leaving)),
+            StatusCode::MISDIRECTED_REQUEST => LeavingSignal::Absent,
+            _ => LeavingSignal::parse(values(&names.leaving)),
         },
         backoff: match status {
-            StatusCode::SERVICE_UNAVAILABLE => BackoffMark::read(values(&header::RETRY_AFTER)),
-            _ => BackoffMark::Unsaid,
+            StatusCode::SERVICE_UNAVAILABLE => BackoffSignal::parse(values(&header::RETRY_AFTER)),
+            _ => BackoffSignal::Absent,
         },
     }
 }
--- a/src/relay/link.rs
+++ b/src/relay/link.rs
@@ -1,7 +1,7 @@
 //! The store interface of a relaying host: typed objects with list, watch, get, conditional put and delete.
 
 use {
-    super::{backend::BackendInfo, config::RelayConfig, policy::crash_mark::KeptJudgement},
+    super::{backend::BackendInfo, config::RelayConfig, policy::crash_report::StoredVerdict},
     crate::{
         control::LeaseSpec,
         store::{EraTracker, StoreFailure, StorePosition},
@@ -39,7 +39,7 @@
     pub link_mbps: u32,
     /// Requests that crash their servers, as first identified by this host.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub judged: Vec<KeptJudgement>,
+    pub judged: Vec<StoredVerdict>,
 }
 
 /// The content of an object.
--- a/src/relay/news/findings.rs
+++ b/src/relay/news/findings.rs
@@ -14,7 +14,7 @@
             parts::shared::RelayParts,
             policy::{
                 digest::RequestDigest,
-                findings_cache::MarkSource,
+                findings_cache::FindingSource,
                 shared_findings::{SharedFindings, SharedRevisions},
             },
         },
@@ -71,8 +71,8 @@
         // them to the head of its own zone.
         let is_head = self.follower.head().is_none();
         let source = match is_zone && is_head {
-            true => MarkSource::Told,
-            false => MarkSource::Reported,
+            true => FindingSource::Distributed,
+            false => FindingSource::Reported,
         };
         self.parts.take_marks(&findings.crashes, source);
         self.parts.take_limits(&findings.limits, source);
--- a/src/relay/news/limit_message.rs
+++ b/src/relay/news/limit_message.rs
@@ -5,7 +5,7 @@
     crate::{
         news_capnp::{limit_saying, limit_update, news_peer},
         relay::policy::{
-            limit_book::LimitSaying,
+            limit_tracker::ReportedLimit,
             limit_updates::LimitUpdate,
             loads::EngineKey,
             permit_allocator::{PermitGrant, PermitRequest},
@@ -39,11 +39,7 @@
 
 fn read_limit(per_second: f64) -> Result<ServerLimit> {
     let limit = ServerLimit::new(per_second);
-    limit.ok_or_else(|| {
-        Error::failed(format!(
-            "invalid rate limit: {per_second} requests per second"
-        ))
-    })
+    limit.ok_or_else(|| Error::failed(format!("{per_second} is no limit")))
 }
 
 /// Encodes a request for permits.
@@ -57,8 +53,8 @@
     to.set_rank(request.rank);
     write_reported_limit(
         to.init_saying(),
-        request.saying.limit,
-        request.saying.age(now),
+        request.reported.limit,
+        request.reported.age(now),
     );
 }
 
@@ -70,7 +66,7 @@
     let (limit, age) = read_reported_limit(from.get_saying()?)?;
     Ok(PermitRequest {
         server: EngineKey(from.get_server()),
-        saying: LimitSaying::told(limit, age, now),
+        reported: ReportedLimit::from_age(limit, age, now),
         wanted: u32::from(from.get_wanted()),
         rank: from.get_rank(),
     })
@@ -84,7 +80,11 @@
 ) {
     to.set_permits(u16::try_from(grant.permits).unwrap_or(u16::MAX));
     to.set_wait_ms(message::to_ms(Some(grant.wait)));
-    write_reported_limit(to.init_saying(), grant.saying.limit, grant.saying.age(now));
+    write_reported_limit(
+        to.init_saying(),
+        grant.reported.limit,
+        grant.reported.age(now),
+    );
 }
 
 /// Decodes the response to a request for permits; fails if it is malformed.
@@ -93,7 +93,7 @@
     Ok(PermitGrant {
         permits: u32::from(from.get_permits()),
         wait: Duration::from_millis(u64::from(from.get_wait_ms())),
-        saying: LimitSaying::told(limit, age, now),
+        reported: ReportedLimit::from_age(limit, age, now),
     })
 }
 
--- a/src/relay/news/permits.rs
+++ b/src/relay/news/permits.rs
@@ -92,7 +92,7 @@
 
     fn may_request(&self) -> bool {
         let now = self.parts.now();
-        self.parts.permits.owners.borrow_mut().may_ask(now)
+        self.parts.permits.owners.borrow_mut().may_request(now)
     }
 
     async fn request_from(
@@ -109,16 +109,16 @@
         let mut owners = self.parts.permits.owners.borrow_mut();
         match answer {
             Ok(grant) => {
-                owners.note_heard(&owner.name);
+                owners.record_response(&owner.name);
                 if grant.permits == 0 && request.wanted > 0 {
-                    owners.note_denied();
+                    owners.record_denial();
                 }
                 Some(grant)
             }
             Err(error) => {
                 log::debug!("cannot request permits from host {}: {error}", owner.name);
                 let is_gone = error.kind == ErrorKind::Disconnected;
-                owners.note_silent(&owner.name, is_gone, self.parts.now());
+                owners.record_no_response(&owner.name, is_gone, self.parts.now());
                 None
             }
         }
@@ -137,6 +137,6 @@
     PermitGrant {
         permits: 0,
         wait: NOT_REQUESTED_WAIT,
-        saying: request.saying,
+        reported: request.reported,
     }
 }
--- a/src/relay/policy/engines.rs
+++ b/src/relay/policy/engines.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        limit_book::{PermitState, PermitWait},
+        limit_tracker::{PermitState, PermitWait},
         registry::{self, BackendRegistry},
         view::BackendView,
     },
@@ -61,7 +61,7 @@
     }
 
     fn return_tokens(&self, view: &BackendView, now: Duration) -> u64 {
-        (self.availability.returning(&view.run, now) * RETURN_TOKENS) as u64
+        (self.availability.ramp_up_remaining(&view.run, now) * RETURN_TOKENS) as u64
     }
 
     /// Whether an engine is expected to have memory for a request.
@@ -91,10 +91,10 @@
         let mut least = None;
         for view in self.engines(service, EngineRole::Decode, now) {
             let server = view.key;
-            let PermitState::Empty(time) = self.limits.permit(server, priority, now) else {
+            let PermitState::Denied(time) = self.limits.permit(server, priority, now) else {
                 return None;
             };
-            least = Some(PermitWait::least(least, PermitWait { server, time }));
+            least = Some(PermitWait::shorter(least, PermitWait { server, time }));
         }
         least
     }
@@ -117,7 +117,8 @@
         let scored = untried.map(|view| {
             let penalty = f64::from(u8::from(view.info.zone != zone)) * OTHER_ZONE_DELAY;
             let penalty = penalty + f64::from(u8::from(!view.is_preferred)) * OUTSIDE_SUBSET_DELAY;
-            let penalty = penalty + self.availability.returning(&view.run, now) * RETURN_DELAY;
+            let penalty =
+                penalty + self.availability.ramp_up_remaining(&view.run, now) * RETURN_DELAY;
             let backlog = view.prefill_backlog(self.prefill_rate, now);
             (view, backlog, backlog + penalty, rand::random::<u16>())
         });
--- a/src/relay/policy/mod.rs
+++ b/src/relay/policy/mod.rs
@@ -6,26 +6,26 @@
 pub(crate) mod budget;
 pub(crate) mod caller_timeouts;
 pub(crate) mod changes;
-pub(crate) mod crash_book;
-pub(crate) mod crash_mark;
 pub(crate) mod crash_record;
+pub(crate) mod crash_report;
+pub(crate) mod crash_tracker;
+mod decimal;
 pub(crate) mod decode_exclusions;
 pub(crate) mod digest;
 mod engines;
 pub(crate) mod findings_cache;
-pub(crate) mod limit_book;
+pub(crate) mod limit_tracker;
 pub(crate) mod limit_updates;
 pub(crate) mod loads;
 pub(crate) mod past_time;
 pub(crate) mod permit_allocator;
 pub(crate) mod permit_owners;
-mod plain_number;
 pub(crate) mod prompt_cache;
 pub(crate) mod registry;
 pub(crate) mod rotation;
 pub(crate) mod route;
 pub(crate) mod server_limit;
-pub(crate) mod server_marks;
+pub(crate) mod server_signals;
 pub(crate) mod shared_findings;
 pub(crate) mod source;
 pub(crate) mod split;
@@ -35,9 +35,10 @@
 pub(crate) mod wait_queue;
 
 pub use self::{
-    admission::*, availability::*, budget::*, caller_timeouts::*, changes::*, crash_book::*,
-    crash_mark::*, crash_record::*, decode_exclusions::*, digest::*, findings_cache::*,
-    limit_book::*, limit_updates::*, loads::*, past_time::*, permit_allocator::*, permit_owners::*,
-    prompt_cache::*, registry::*, rotation::*, route::*, server_limit::*, server_marks::*,
-    shared_findings::*, source::*, split::*, store_backoff::*, subset::*, view::*, wait_queue::*,
+    admission::*, availability::*, budget::*, caller_timeouts::*, changes::*, crash_record::*,
+    crash_report::*, crash_tracker::*, decode_exclusions::*, digest::*, findings_cache::*,
+    limit_tracker::*, limit_updates::*, loads::*, past_time::*, permit_allocator::*,
+    permit_owners::*, prompt_cache::*, registry::*, rotation::*, route::*, server_limit::*,
+    server_signals::*, shared_findings::*, source::*, split::*, store_backoff::*, subset::*,
+    view::*, wait_queue::*,
 };
--- a/src/relay/policy/registry.rs
+++ b/src/relay/policy/registry.rs
@@ -4,9 +4,9 @@
 
 use {
     super::{
-        availability::AvailabilityBook,
+        availability::AvailabilityTracker,
         changes::BackendChanges,
-        limit_book::{LimitBook, PermitState, PermitWait},
+        limit_tracker::{LimitTracker, PermitState, PermitWait},
         loads::{EngineKey, EngineLoad},
         view::{BackendFailure, BackendView, EJECT_FIRST, FAILURES_TO_EJECT},
     },
@@ -77,9 +77,9 @@
     // Best observed prefill throughput, in prompt tokens per second.
     pub(super) prefill_rate: f64,
     /// Rate limits that servers announce.
-    pub limits: LimitBook,
+    pub limits: LimitTracker,
     /// Servers that are draining or asked this host to back off.
-    pub availability: AvailabilityBook,
+    pub availability: AvailabilityTracker,
 }
 
 impl Default for BackendRegistry {
@@ -89,8 +89,8 @@
             next_call: 0,
             peer_loads_at: None,
             prefill_rate: PREFILL_RATE,
-            limits: LimitBook::default(),
-            availability: AvailabilityBook::default(),
+            limits: LimitTracker::default(),
+            availability: AvailabilityTracker::default(),
         }
     }
 }
@@ -182,7 +182,7 @@
             .usable(service, now)
             .filter(|view| !tried.contains(&view.info.id));
         sorted(views, |view| {
-            let returning = self.availability.returning(&view.run, now) * RETURN_PENALTY;
+            let returning = self.availability.ramp_up_remaining(&view.run, now) * RETURN_PENALTY;
             (
                 self.is_avoided(view, now),
                 order(view.plain_score(zone, now) + returning),
@@ -209,10 +209,10 @@
         ranked.retain(|info| {
             let server = info.key();
             match self.limits.permit(server, constraints.priority, now) {
-                PermitState::Free => true,
-                PermitState::Held | PermitState::Ask => !constraints.unlimited_only,
-                PermitState::Empty(time) => {
-                    wait = Some(PermitWait::least(wait, PermitWait { server, time }));
+                PermitState::Unlimited => true,
+                PermitState::Held | PermitState::MustRequest => !constraints.unlimited_only,
+                PermitState::Denied(time) => {
+                    wait = Some(PermitWait::shorter(wait, PermitWait { server, time }));
                     false
                 }
             }
@@ -241,7 +241,7 @@
         let is_empty = |view: &&BackendView| {
             matches!(
                 self.limits.permit(view.key, priority, now),
-                PermitState::Empty(_)
+                PermitState::Denied(_)
             )
         };
         let views = self.usable(service, now).filter(is_empty);
--- a/src/relay/request/plain.rs
+++ b/src/relay/request/plain.rs
@@ -16,7 +16,7 @@
             backend::BackendInfo,
             parts::{permits::ServerPermit, shared::RelayParts},
             policy::{
-                limit_book::PermitWait,
+                limit_tracker::PermitWait,
                 registry::{PlainChoice, SendConstraints},
                 view::BackendFailure,
             },
--- a/src/relay/request/send_check.rs
+++ b/src/relay/request/send_check.rs
@@ -5,7 +5,7 @@
     super::client_request::ClientRequest,
     crate::{
         operation::{Refusal, RefusalCode, RunVerdict},
-        relay::{parts::shared::RelayParts, policy::crash_record::CrashJudgement},
+        relay::{parts::shared::RelayParts, policy::crash_record::CrashVerdict},
     },
     faststr::FastStr,
     std::time::Duration,
@@ -29,16 +29,16 @@
         return Ok(request);
     }
     match parts.judge(request.digest()) {
-        CrashJudgement::Harmless => Ok(request),
-        CrashJudgement::Suspected(_) => Ok(request.as_crash_suspect()),
-        CrashJudgement::Fatal(wait) => Err(fatal_refusal(
+        CrashVerdict::Harmless => Ok(request),
+        CrashVerdict::Suspected(_) => Ok(request.as_crash_suspect()),
+        CrashVerdict::Fatal(wait) => Err(fatal_refusal(
             parts,
             &request,
             service,
             RunVerdict::NotRun,
             wait,
         )),
-        CrashJudgement::TrialDue => match parts.ask_trial(request.digest()).await {
+        CrashVerdict::TrialDue => match parts.ask_trial(request.digest()).await {
             true => Ok(request.as_crash_suspect().as_crash_trial()),
             false => Err(fatal_refusal(
                 parts,
@@ -68,11 +68,11 @@
         return Ok(());
     }
     let wait = match parts.judge(request.digest()) {
-        CrashJudgement::Harmless | CrashJudgement::Suspected(_) => return Ok(()),
+        CrashVerdict::Harmless | CrashVerdict::Suspected(_) => return Ok(()),
         // The granted trial is one run, and that has not taken place yet.
         _ if request.is_crash_trial && verdict == RunVerdict::NotRun => return Ok(()),
-        CrashJudgement::Fatal(wait) => wait,
-        CrashJudgement::TrialDue => TRIAL_RETRY_AFTER,
+        CrashVerdict::Fatal(wait) => wait,
+        CrashVerdict::TrialDue => TRIAL_RETRY_AFTER,
     };
     Err(fatal_refusal(parts, request, service, verdict, wait))
 }
--- a/tests/fleet_sim/crashes.rs
+++ b/tests/fleet_sim/crashes.rs
@@ -3,7 +3,8 @@
 use {
     super::{QUERY_TIMEOUT, STEP, SimFaults, SimFleet},
     bayplank::relay::{
-        CachePosition, CrashBook, CrashJudgement, CrashMark, EngineKey, MarkSource, RequestDigest,
+        CachePosition, CrashReport, CrashTracker, CrashVerdict, EngineKey, FindingSource,
+        RequestDigest,
     },
     faststr::FastStr,
     rand::seq::SliceRandom,
@@ -23,7 +24,7 @@
 const END_BYTES: u64 = 16;
 
 pub struct SimCrashes {
-    pub book: CrashBook,
+    pub book: CrashTracker,
     // Position up to which this host received each other host's book.
     positions: BTreeMap<usize, CachePosition>,
     // Revision of its own book up to which it has reported to the head of its zone, or to another zone.
@@ -38,7 +39,7 @@
 impl SimCrashes {
     pub fn new(id: u64) -> Self {
         Self {
-            book: CrashBook::new(id),
+            book: CrashTracker::new(id),
             positions: BTreeMap::new(),
             reported: BTreeMap::new(),
             skipped: BTreeMap::new(),
@@ -49,10 +50,10 @@
     }
 }
 
-fn bytes_of(marks: &[CrashMark]) -> u64 {
+fn bytes_of(marks: &[CrashReport]) -> u64 {
     let sizes = marks.iter();
     sizes
-        .map(|mark| MARK_BYTES + END_BYTES * mark.ends.len() as u64)
+        .map(|mark| MARK_BYTES + END_BYTES * mark.crashes.len() as u64)
         .sum()
 }
 
@@ -67,18 +68,15 @@
         let crashes = &mut self.hosts[index].crashes;
         crashes
             .book
-            .note_end(RequestDigest(digest), EngineKey(run), now);
+            .record_crash(RequestDigest(digest), EngineKey(run), now);
         crashes.next_check = self.now;
     }
 
     /// Whether a host considers a request fatal, that is, one that crashes its servers.
     pub fn considers_fatal(&self, index: usize, digest: u128) -> bool {
         let book = &self.hosts[index].crashes.book;
-        let judgement = book.judge(RequestDigest(digest), self.crash_now());
-        matches!(
-            judgement,
-            CrashJudgement::Fatal(_) | CrashJudgement::TrialDue
-        )
+        let judgement = book.verdict(RequestDigest(digest), self.crash_now());
+        matches!(judgement, CrashVerdict::Fatal(_) | CrashVerdict::TrialDue)
     }
 
     /// Runs until all hosts that are up and in a zone that `counts` accepts consider a request fatal, and returns how
@@ -131,19 +129,21 @@
     pub(super) fn has_crash_news(&self, index: usize, from: usize) -> bool {
         let known = self.hosts[index].crashes.positions.get(&from).copied();
         let book = &self.hosts[from].crashes.book;
-        let news = book.news_since(known.unwrap_or_default(), self.crash_now());
-        !news.marks.is_empty()
+        let news = book.updates_since(known.unwrap_or_default(), self.crash_now());
+        !news.findings.is_empty()
     }
 
     pub(super) fn take_crashes(&mut self, index: usize, from: usize) {
         let now = self.crash_now();
         let known = self.hosts[index].crashes.positions.get(&from).copied();
         let sender = &mut self.hosts[from].crashes;
-        let news = sender.book.news_since(known.unwrap_or_default(), now);
-        sender.sent_bytes += bytes_of(&news.marks);
+        let news = sender.book.updates_since(known.unwrap_or_default(), now);
+        sender.sent_bytes += bytes_of(&news.findings);
         let crashes = &mut self.hosts[index].crashes;
-        crashes.book.take(&news.marks, MarkSource::Told, now);
-        crashes.positions.insert(from, news.place);
+        crashes
+            .book
+            .merge(&news.findings, FindingSource::Distributed, now);
+        crashes.positions.insert(from, news.position);
     }
 
     pub(super) fn report_crashes(&mut self, index: usize, faults: &SimFaults) {
@@ -216,7 +216,7 @@
             false => reported,
         };
         let marks = crashes.book.reported_since(since, now);
-        let revision = crashes.book.place().revision;
+        let revision = crashes.book.position().revision;
         if marks.is_empty() {
             let reported = &mut self.hosts[index].crashes.reported;
             reported.insert((name, is_zone), revision);
@@ -237,13 +237,13 @@
         }
         let is_head = other.choice.head(self.local_now(to)).is_none();
         let source = match is_zone && is_head {
-            true => MarkSource::Told,
-            false => MarkSource::Reported,
+            true => FindingSource::Distributed,
+            false => FindingSource::Reported,
         };
         let at = &mut self.hosts[to].crashes;
-        let before = at.book.place();
-        at.book.take(&marks, source, now);
-        if at.book.place() != before {
+        let before = at.book.position();
+        at.book.merge(&marks, source, now);
+        if at.book.position() != before {
             at.next_check = self.now;
         }
         let crashes = &mut self.hosts[index].crashes;
--- a/tests/relay_decisions.rs
+++ b/tests/relay_decisions.rs
@@ -380,11 +380,11 @@
     let engines = ["e-1", "e-2", "e-3", "e-4", "e-5", "e-6"].map(decode);
     book.set_backends(engines.to_vec());
     let now = Duration::from_secs(1);
-    let marks = relay::ServerMarks {
-        backoff: relay::BackoffMark::Lasting(now),
-        ..relay::ServerMarks::default()
+    let marks = relay::ServerSignals {
+        backoff: relay::BackoffSignal::Backoff(now),
+        ..relay::ServerSignals::default()
     };
-    book.availability.note(&engines[5].run(), &marks, now);
+    book.availability.record(&engines[5].run(), &marks, now);
     book.note_failure("e-1", BackendFailure::Silent, now);
     book.note_declined("e-2", now);
     book.memory_reserved("e-3", 40_000);
