--- a/src/relay/policy/decode_exclusions.rs
+++ b/src/relay/policy/decode_exclusions.rs
@@ -35,8 +35,8 @@
         } = self;
         write!(
             f,
-            "of {listed} decode engines {backing_off} are backing off, {ejected} are ejected, {declining} declined, \
-             {full} are estimated to be full, {refused} refused for lack of memory"
+            "of {listed} decode engines {backing_off} asked for a backoff, {ejected} are passed over, {declining} declined, \
+             {full} are believed full, {refused} had no room"
         )
     }
 }
