--- a/src/relay/request/prefill.rs
+++ b/src/relay/request/prefill.rs
@@ -142,7 +142,7 @@
                 verdict: RunVerdict::MayHaveRun,
                 received: true,
                 kind: BackendFailure::Silent,
-                detail: "no response in time".into(),
+                detail: "no answer in time".into(),
             })
         });
     match &result {
@@ -229,6 +229,6 @@
         verdict: RunVerdict::MayHaveRun,
         received: true,
         kind: BackendFailure::Broken,
-        detail: format!("unusable response with status {status}"),
+        detail: format!("unusable answer, status {status}"),
     })
 }
