--- a/src/relay/parts/accounts.rs
+++ b/src/relay/parts/accounts.rs
@@ -102,13 +102,13 @@
             KeyStanding::Open => Ok(None),
             KeyStanding::Unknown => Err(Refusal::not_run(
                 RefusalCode::UnknownCaller,
-                "the request has no valid API key",
+                "no key in force was shown",
             )),
             KeyStanding::Unsure => {
                 self.metrics.unsure_keys.inc();
                 let age = proof.map_or(-1, |age| age.as_millis() as i64);
                 let text = format!(
-                    "this host cannot verify the key: its configuration was last confirmed {age} ms ago"
+                    "this host cannot tell whether the key is in force; it was sure {age} ms ago"
                 );
                 let refusal = Refusal::not_run(RefusalCode::NotConfigured, text);
                 Err(refusal.after(rand::rng().random_range(UNVERIFIED_KEY_RETRY)))
--- a/src/relay/parts/availability.rs
+++ b/src/relay/parts/availability.rs
@@ -67,7 +67,7 @@
         let check = || match self.may_send(backend, admitted) {
             true => Ok(()),
             false => Err(SendFailure::withheld(format!(
-                "{} accepts no new requests",
+                "{} takes no new requests",
                 backend.id
             ))),
         };
@@ -164,7 +164,7 @@
             }
             RotationWait::NoneReturns => rand::random_range(LEAVING_RETRY_DELAY),
         };
-        let text = format!("no server of {service} accepts new requests at the moment");
+        let text = format!("all servers of {service} take no new requests for now");
         Refusal::new(verdict, RefusalCode::NoBackend, text).after(wait)
     }
 
--- a/src/relay/parts/permits.rs
+++ b/src/relay/parts/permits.rs
@@ -222,7 +222,9 @@
         self.metrics.held_back(service);
         self.book.borrow_mut().limits.record_rejection(wait.server);
         let spread = rand::random_range(1.0..=1.0 + RETRY_JITTER);
-        let text = format!("no permit is available at the rate-limited servers of {service}");
+        let text = format!(
+            "the servers of {service} that could take it name how much they take, and no permit is left"
+        );
         Refusal::new(verdict, RefusalCode::Overloaded, text).after(wait.time.mul_f64(spread))
     }
 
