--- a/src/relay/news/feed.rs
+++ b/src/relay/news/feed.rs
@@ -147,9 +147,7 @@
                     (_, false) if self.known_position(kind) != known => {}
                     (ListFreshness::MayLag, false) => {}
                     (ListFreshness::Latest, false) => {
-                        return Err(StoreFailure::Unknown(
-                            "list is older than the known position".into(),
-                        ));
+                        return Err(StoreFailure::Unknown("an older list than is known".into()));
                     }
                 }
                 Ok(())
@@ -314,7 +312,7 @@
         tokio::select! {
             changes = watch => changes,
             () = self.reachability.recovered() => {
-                Err(StoreFailure::Unknown("the store was unresponsive during this watch".into()))
+                Err(StoreFailure::Unknown("the store fell silent meanwhile".into()))
             }
         }
     }
--- a/src/relay/parts/shared.rs
+++ b/src/relay/parts/shared.rs
@@ -238,7 +238,7 @@
         *request.uri_mut() = call.path.parse().map_err(|error| SendFailure {
             verdict: RunVerdict::NotRun,
             cause: FailureCause::Broken,
-            detail: format!("invalid path {:?}: {error}", call.path),
+            detail: format!("{:?} is no path: {error}", call.path),
         })?;
         let headers = request.headers_mut();
         let host = HeaderValue::from_str(&backend.address.to_string());
--- a/src/relay/roles/keeper.rs
+++ b/src/relay/roles/keeper.rs
@@ -277,10 +277,7 @@
             }
             Ok((StatusCode::PRECONDITION_FAILED, _)) => {
                 self.lease.lost();
-                (
-                    ROLE_CHANGE_TIME,
-                    "rejected: the lease has a newer holder".to_owned(),
-                )
+                (ROLE_CHANGE_TIME, "a newer holder is at work".to_owned())
             }
             Ok((status, _)) => (ORDER_RETRY_DELAY, format!("status {status}")),
             // The engine may have accepted the order, or may carry it out later. The number of orders taken, which each order
