--- a/src/operation/awaited.rs
+++ b/src/operation/awaited.rs
@@ -1,4 +1,4 @@
-//! What a running request waits for.
+//! The pending engine or placement call of a running request.
 
 use {
     super::step::LifeEvent,
@@ -11,7 +11,7 @@
     tokio::time::Instant,
 };
 
-/// What the life waits for.
+/// The call or stream that a running request is waiting for.
 pub(super) enum Awaited {
     Nothing,
     Desk(BoxFuture<'static, DeskAnswer>, PlaceStage),
@@ -20,30 +20,36 @@
     Items(ItemStream),
 }
 
-/// The answer of an engine that is not listed any more.
-pub(super) fn gone<T: Send + 'static>() -> BoxFuture<'static, CallResult<T>> {
+/// Returns the failure of a call to an engine that is no longer listed.
+pub(super) fn unlisted_engine<T: Send + 'static>() -> BoxFuture<'static, CallResult<T>> {
     async { Err(CallFailure::unreachable("the engine is no longer listed")) }.boxed()
 }
 
-/// Waits until a time, if there is one.
-pub(super) async fn within<T>(by: Option<Instant>, future: impl Future<Output = T>) -> Option<T> {
-    match by {
-        Some(by) => tokio::time::timeout_at(by, future).await.ok(),
+/// Waits for a future until an optional deadline; returns `None` after the deadline.
+pub(super) async fn until_deadline<T>(
+    deadline: Option<Instant>,
+    future: impl Future<Output = T>,
+) -> Option<T> {
+    match deadline {
+        Some(deadline) => tokio::time::timeout_at(deadline, future).await.ok(),
         None => Some(future.await),
     }
 }
 
-/// The next item of a stream, as an event.
-pub(super) async fn next_item(awaited: &mut Awaited, import_by: Option<Instant>) -> LifeEvent {
+/// Reads the next stream item as an event.
+pub(super) async fn next_item(
+    awaited: &mut Awaited,
+    import_deadline: Option<Instant>,
+) -> LifeEvent {
     let Awaited::Items(items) = awaited else {
         return LifeEvent::StreamBroken;
     };
-    match within(import_by, items.next()).await {
+    match until_deadline(import_deadline, items.next()).await {
         Some(Some(Ok(item))) => LifeEvent::Item(item),
         Some(Some(Err(_)) | None) => LifeEvent::StreamBroken,
         None => LifeEvent::ImportStalled,
     }
 }
 
-/// Least wait between two reads of a broken stream.
-pub(super) const RESUME_PAUSE: Duration = Duration::from_millis(20);
+/// Delay before a broken stream is resumed.
+pub(super) const RESUME_DELAY: Duration = Duration::from_millis(20);
--- a/src/operation/account.rs
+++ b/src/operation/bookkeeping.rs
@@ -1,4 +1,4 @@
-//! What a request's steps showed of engines, and what it holds there until it is given back.
+//! Reports engine load and failures seen by a request, and releases the engine capacity that it reserved.
 
 use {
     super::{
@@ -10,81 +10,85 @@
 };
 
 impl RequestRunner {
-    pub(super) fn account(&mut self, event: &LifeEvent) {
+    /// Updates statistics, reservations and engine state from an event.
+    pub(super) fn record_event(&mut self, event: &LifeEvent) {
         match event {
             LifeEvent::PrefillDone(reply) => {
                 self.stats.computed_tokens += reply.computed_tokens;
-                // What an earlier prefill computed is now thrown away.
-                self.stats.wasted_tokens += std::mem::take(&mut self.unimported);
-                self.unimported = reply.computed_tokens;
-                self.kv_until = self.parts.desk.now() + self.parts.limits.kv_life;
+                // The result of an earlier prefill that was never imported is lost now.
+                self.stats.wasted_tokens += std::mem::take(&mut self.unimported_tokens);
+                self.unimported_tokens = reply.computed_tokens;
+                self.kv_expires_at = self.parts.desk.now() + self.parts.limits.kv_life;
                 self.release_prefill(Some(reply));
             }
             LifeEvent::PrefillFailed(failure) => {
-                self.note_failure(
+                self.record_failure(
                     failure,
-                    self.prefill_held.as_ref().map(|held| held.0.clone()),
+                    self.reserved_prefill.as_ref().map(|held| held.0.clone()),
                 );
                 if failure.is_break()
-                    && let Some((engine, _)) = self.prefill_held.clone()
+                    && let Some((engine, _)) = self.reserved_prefill.clone()
                 {
                     self.stats.prefill_broke = true;
-                    self.note_break(engine);
+                    self.queue_crash_check(engine);
                 }
                 self.release_prefill(None);
             }
             LifeEvent::DecodeFailed(failure) => {
-                self.note_failure(failure, self.decode_held.clone());
+                self.record_failure(failure, self.reserved_decode.clone());
                 if failure.is_break()
-                    && let Some(engine) = self.decode_held.clone()
+                    && let Some(engine) = self.reserved_decode.clone()
                 {
-                    self.note_break(engine);
+                    self.queue_crash_check(engine);
                 }
             }
             LifeEvent::Item(StreamItem::Imported { load }) => {
-                self.import_by = None;
-                self.unimported = 0;
-                self.note_load(load);
+                self.import_deadline = None;
+                self.unimported_tokens = 0;
+                self.record_load(load);
             }
-            LifeEvent::Item(StreamItem::Finished { load, .. }) => self.note_load(load),
+            LifeEvent::Item(StreamItem::Finished { load, .. }) => self.record_load(load),
             LifeEvent::StreamBroken | LifeEvent::ImportStalled => {
-                if let Some(engine) = self.decode_held.clone() {
+                if let Some(engine) = self.reserved_decode.clone() {
                     self.parts
                         .desk
                         .change(|desk, now| desk.failed(&engine, now));
-                    self.note_break(engine);
+                    self.queue_crash_check(engine);
                 }
             }
             _ => {}
         }
     }
 
-    // Whether the engine ended is found out before the request is sent on, or at its end.
-    fn note_break(&mut self, engine: FastStr) {
+    // Queues the engine for a crash check, made before the next placement or when the request ends.
+    fn queue_crash_check(&mut self, engine: FastStr) {
         let address = self
             .parts
             .desk
             .read(|desk| desk.view(&engine).map(|view| view.info.address.clone()));
-        // The platform lists an engine by its address; one in the same process has none.
+        // Engines in the same process have no socket address and cannot be probed.
         let address = address.and_then(|address| address.parse().ok());
         if let Some(address) = address
-            && !self.broken.iter().any(|(known, _)| *known == engine)
+            && !self
+                .unchecked_crashes
+                .iter()
+                .any(|(known, _)| *known == engine)
         {
-            self.broken.push((engine, address));
+            self.unchecked_crashes.push((engine, address));
         }
     }
 
-    // Answers carry load for free.
-    fn note_load(&self, load: &Option<engine::LoadReport>) {
-        if let (Some(load), Some(engine)) = (load, &self.decode_held) {
+    // Engine replies include a load report, so no separate call is needed.
+    fn record_load(&self, load: &Option<engine::LoadReport>) {
+        if let (Some(load), Some(engine)) = (load, &self.reserved_decode) {
             self.parts
                 .desk
                 .change(|desk, now| desk.reported(engine, load.clone(), now));
         }
     }
 
-    // A refusal tells of load; silence tells of trouble.
-    fn note_failure(&self, failure: &CallFailure, engine: Option<FastStr>) {
+    // A refusal may include a load report; a failure without a refusal counts against the engine.
+    fn record_failure(&self, failure: &CallFailure, engine: Option<FastStr>) {
         let Some(engine) = engine else {
             return;
         };
@@ -102,30 +106,34 @@
         });
     }
 
+    /// Releases the reserved prefill capacity, if any.
     pub(super) fn release_prefill(&mut self, reply: Option<&PrefillReply>) {
-        if let Some((engine, tokens)) = self.prefill_held.take() {
+        if let Some((engine, tokens)) = self.reserved_prefill.take() {
             self.parts
                 .desk
                 .change(|desk, now| desk.prefill_ended(&engine, tokens, reply, now));
         }
     }
 
+    /// Releases the reserved decode slot, if any.
     pub(super) fn release_decode(&mut self) {
-        if let Some(engine) = self.decode_held.take() {
+        if let Some(engine) = self.reserved_decode.take() {
             self.parts.desk.change(|desk, _| desk.decode_ended(&engine));
         }
     }
 
+    /// Releases everything the request holds, completes its statistics and checks in the background whether engines
+    /// that lost its connection have crashed.
     pub(super) fn finish(&mut self) {
         self.release_prefill(None);
         self.release_decode();
-        self.stats.wasted_tokens += std::mem::take(&mut self.unimported);
-        self.stats.prefills = self.life.prefills();
+        self.stats.wasted_tokens += std::mem::take(&mut self.unimported_tokens);
+        self.stats.prefills = self.state.prefills();
         self.stats.whole = self.started.elapsed();
-        if !self.broken.is_empty() {
+        if !self.unchecked_crashes.is_empty() {
             let (parts, digest) = (self.parts.clone(), self.request.digest);
-            let broken = std::mem::take(&mut self.broken);
-            tokio::spawn(async move { runner::learn_ends(&parts, digest, broken).await });
+            let unchecked = std::mem::take(&mut self.unchecked_crashes);
+            tokio::spawn(async move { runner::check_for_crashes(&parts, digest, unchecked).await });
         }
     }
 }
--- a/src/operation/budget.rs
+++ b/src/operation/budget.rs
@@ -1,41 +1,42 @@
-//! How much work may be done again: a share of recent traffic, not a count for each request.
+//! Retry budget shared by all requests of a host: retries are limited to a share of recent traffic, in addition to the
+//! limits of each request.
 
 use std::time::Duration;
 
-/// Credits that are kept at most, so that a quiet time does not save up for a storm.
-const CREDIT_MAX: f64 = 20.0;
+/// Upper limit of saved credits, so that credits from a quiet period cannot pay for a retry storm.
+const MAX_CREDITS: f64 = 20.0;
 
-/// Credits that come back each second without traffic, so that a lone request may be retried.
-const CREDIT_PER_SECOND: f64 = 1.0;
+/// Credits added each second regardless of traffic, so that a single request can be retried on an idle host.
+const CREDITS_PER_SECOND: f64 = 1.0;
 
-/// Allows retries for a share of the requests.
+/// A token bucket that is filled by requests and drained by retries.
 #[derive(Debug)]
 pub struct RetryBudget {
     share: f64,
     credits: f64,
-    last: Duration,
+    last_refill: Duration,
 }
 
 impl RetryBudget {
-    /// A budget of `share` retries for each request.
+    /// Creates a half-full budget that earns `share` retries for each request.
     pub fn new(share: f64) -> Self {
         Self {
             share,
-            credits: CREDIT_MAX / 2.0,
-            last: Duration::ZERO,
+            credits: MAX_CREDITS / 2.0,
+            last_refill: Duration::ZERO,
         }
     }
 
-    /// A request came.
+    /// Adds the share of one new request.
     pub fn earn(&mut self) {
-        self.credits = (self.credits + self.share).min(CREDIT_MAX);
+        self.credits = (self.credits + self.share).min(MAX_CREDITS);
     }
 
-    /// Whether work may be done again now; if so, it is counted.
+    /// Takes one credit for a retry; returns whether one was available.
     pub fn spend(&mut self, now: Duration) -> bool {
-        let passed = now.saturating_sub(self.last).as_secs_f64();
-        self.last = self.last.max(now);
-        self.credits = (self.credits + passed * CREDIT_PER_SECOND).min(CREDIT_MAX);
+        let elapsed = now.saturating_sub(self.last_refill).as_secs_f64();
+        self.last_refill = self.last_refill.max(now);
+        self.credits = (self.credits + elapsed * CREDITS_PER_SECOND).min(MAX_CREDITS);
         let allowed = self.credits >= 1.0;
         if allowed {
             self.credits -= 1.0;
--- a/src/operation/crashes.rs
+++ b/src/operation/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests that end their servers, as all requests of a host share what is known of them.
+//! Requests that crash their backend servers, shared by all requests of a host.
 
 use {
     super::verdict::{Refusal, RefusalCode, RunVerdict},
@@ -17,16 +17,16 @@
     },
 };
 
-/// Longest wait until it is known whether a server ended that broke off; the call is sent on after it.
-const LEARN_PATIENCE: Duration = Duration::from_millis(350);
+/// Time limit for probing a server after a broken connection; the call is retried elsewhere after it.
+const PROBE_TIME_LIMIT: Duration = Duration::from_millis(350);
 
-/// Marks that an exchange with another host carries at most, those of the last changes: some 3 kB.
-const MARKS_TOLD: usize = 16;
+/// Maximum number of marks, most recently changed first, in one exchange with another host: about 3 kB.
+const MAX_EXCHANGED_MARKS: usize = 16;
 
-/// When a caller is to come back whose request is on trial elsewhere.
-const COME_BACK: Duration = Duration::from_secs(5);
+/// Retry delay for a request that is due for a trial but may have run already, so that it cannot be the trial.
+const TRIAL_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// Which requests end their servers, as far as this host saw and was told.
+/// Requests that crash their servers, from this host's observations and from reports by other hosts.
 #[derive(Debug)]
 pub struct SharedCrashes {
     book: Mutex<CrashBook>,
@@ -34,7 +34,7 @@
 }
 
 impl SharedCrashes {
-    /// Nothing is known yet.
+    /// Creates an empty record.
     pub fn new(clock: HostClock) -> Self {
         Self {
             book: Mutex::new(CrashBook::new(rand::random())),
@@ -46,9 +46,10 @@
         self.book.lock().expect("crash book")
     }
 
-    /// Refuses a request that is held to end its servers; `verdict` is what became of it so far.
+    /// Refuses a request that is known to crash its servers; `verdict` says whether it may have run so far.
     ///
-    /// One that may be tried is let in by the first host that it comes to; the others hear of that with the next exchange.
+    /// If a trial is due, the first host that receives the request admits it; other hosts learn of the trial in the
+    /// next exchange.
     pub fn check(&self, digest: RequestDigest, verdict: RunVerdict) -> Result<(), Refusal> {
         let now = self.clock.now();
         let mut book = self.book();
@@ -59,7 +60,7 @@
                 event::emit(&event::REQUEST_TRIED, &[("digest", &digest)]);
                 return Ok(());
             }
-            CrashJudgement::TrialDue => COME_BACK,
+            CrashJudgement::TrialDue => TRIAL_RETRY_AFTER,
             CrashJudgement::Fatal(wait) => wait,
         };
         book.note_seen(digest, now);
@@ -68,12 +69,12 @@
         Err(Refusal::new(verdict, RefusalCode::EndsServers, text).after(wait))
     }
 
-    /// A server broke off under a request: finds out whether it ended.
+    /// Probes a server whose connection broke during a request, and records a crash if it refuses connections.
     ///
-    /// A server that starts again under its name passes for the same run: the platform tells no others apart.
+    /// A restarted server counts as the same server, because the platform does not distinguish runs of the same name.
     pub async fn learn_end(&self, digest: RequestDigest, server: &str, address: SocketAddr) {
-        let probing = web::within(LEARN_PATIENCE, web::probe_patiently(address));
-        if probing.await != Ok(ProbeOutcome::Refused) {
+        let probe = web::within(PROBE_TIME_LIMIT, web::probe_patiently(address));
+        if probe.await != Ok(ProbeOutcome::Refused) {
             return;
         }
         event::emit(
@@ -85,19 +86,19 @@
         log_change(digest, change);
     }
 
-    /// A request came to its good end.
+    /// Records a successful run of a request.
     pub fn note_good_run(&self, digest: RequestDigest) {
         let now = self.clock.now();
         let change = self.book().note_good_run(digest, now);
         log_change(digest, change);
     }
 
-    /// What other hosts are told.
+    /// Returns the marks to send to other hosts.
     pub fn marks(&self) -> Vec<CrashMark> {
-        self.book().latest(MARKS_TOLD, self.clock.now())
+        self.book().latest(MAX_EXCHANGED_MARKS, self.clock.now())
     }
 
-    /// Takes what another host told.
+    /// Merges marks received from another host.
     pub fn take(&self, marks: &[CrashMark]) {
         if marks.is_empty() {
             return;
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Requests that are held to end their servers.
+    /// Returns the number of requests that are known to crash their servers.
     pub fn fatal_count(&self) -> usize {
         self.book().fatal_count()
     }
--- a/src/operation/life.rs
+++ b/src/operation/life.rs
@@ -1,7 +1,7 @@
-//! The life of a model request, from its arrival to its end, as a state machine.
+//! State machine of a model request, from arrival to completion.
 //!
-//! It holds no clock, socket or task: an event and the time go in, actions come out. So every fault
-//! at every step can be driven through it, and the bench runs the same decisions as the daemon.
+//! It owns no clock, socket or task: it takes an event and the current time and returns actions. Tests can therefore
+//! inject any fault at any step, and the benchmark runs the same decision code as the daemon.
 
 use {
     super::{
@@ -14,7 +14,7 @@
 };
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum LifeState {
+enum RequestState {
     Placing,
     Prefilling(EngineAttempt),
     Importing(HeldCache),
@@ -23,39 +23,44 @@
     Ended,
 }
 
+/// A KV cache that a prefill engine holds until a decode engine has imported it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct HeldCache {
     prefill: EngineAttempt,
     decode: EngineAttempt,
     handle: FastStr,
-    until: Duration,
+    expires_at: Duration,
 }
 
-/// One model request; times are since the request's arrival.
+/// The state of one model request.
+///
+/// All times come from the clock whose reading is passed to [`RequestLife::step`].
 #[derive(Debug)]
 pub struct RequestLife {
     limits: LifeLimits,
-    state: LifeState,
+    state: RequestState,
     planned_decode: Option<EngineAttempt>,
     delivered: Vec<FastStr>,
+    // Attempts that may still hold engine memory.
     open: Vec<EngineAttempt>,
     prefills: u32,
     refusals: u32,
     imports: u32,
     resumes: u32,
     last_failure: String,
-    ran: RunVerdict,
-    ran_before: RunVerdict,
-    // Tokens that the caller has from before this host knew the request.
+    verdict: RunVerdict,
+    // Restored if the prefill engine refuses the order.
+    verdict_before_prefill: RunVerdict,
+    // Number of tokens that the caller received through another host.
     caller_has: usize,
 }
 
 impl RequestLife {
-    /// A request that has just arrived.
+    /// Creates the state of a newly arrived request.
     pub fn new(limits: LifeLimits) -> Self {
         Self {
             limits,
-            state: LifeState::Placing,
+            state: RequestState::Placing,
             planned_decode: None,
             delivered: Vec::new(),
             open: Vec::new(),
@@ -64,29 +69,29 @@
             imports: 0,
             resumes: 0,
             last_failure: String::new(),
-            ran: RunVerdict::NotRun,
-            ran_before: RunVerdict::NotRun,
+            verdict: RunVerdict::NotRun,
+            verdict_before_prefill: RunVerdict::NotRun,
             caller_has: 0,
         }
     }
 
-    /// A request that another host began, whose caller came here with `caller_has` tokens.
+    /// Takes over a request that another host started and whose caller reconnected here with `caller_has` tokens.
     ///
-    /// The attempt's stream is read from its start, so that this host knows the whole answer.
+    /// The stream of `target` is read from position 0, so that this host has the complete answer.
     pub fn adopt(limits: LifeLimits, target: EngineAttempt, caller_has: usize) -> Self {
         Self {
-            state: LifeState::Decoding(target.clone()),
+            state: RequestState::Decoding(target.clone()),
             open: vec![target],
-            ran: RunVerdict::Ran,
+            verdict: RunVerdict::Ran,
             caller_has,
             ..Self::new(limits)
         }
     }
 
-    /// The first action.
+    /// Returns the initial actions.
     pub fn start(&self) -> Vec<LifeAction> {
         match &self.state {
-            LifeState::Decoding(target) => vec![LifeAction::Resume {
+            RequestState::Decoding(target) => vec![LifeAction::Resume {
                 target: target.clone(),
                 from: 0,
             }],
@@ -94,77 +99,82 @@
         }
     }
 
-    /// Tokens that the caller has.
+    /// Returns the tokens emitted by this host so far, including any that an adopted caller already has.
     pub fn delivered(&self) -> &[FastStr] {
         &self.delivered
     }
 
-    /// Whether it may have run so far.
+    /// Returns whether the request may have run so far.
     pub fn verdict(&self) -> RunVerdict {
-        self.ran
+        self.verdict
     }
 
-    /// Attempts that may hold engine memory.
+    /// Returns the attempts that may still hold engine memory.
     pub fn open_attempts(&self) -> &[EngineAttempt] {
         &self.open
     }
 
-    /// Prefills started so far.
+    /// Returns the number of prefills started so far, without those that engines refused.
     pub fn prefills(&self) -> u32 {
         self.prefills
     }
 
-    /// Whether the request has ended.
+    /// Returns whether the request has ended.
     pub fn has_ended(&self) -> bool {
-        self.state == LifeState::Ended
+        self.state == RequestState::Ended
     }
 
-    /// Takes an event at a time and gives what to do; an event that comes too late changes nothing.
+    /// Processes an event and returns the resulting actions; events after the end are ignored.
     pub fn step(&mut self, event: LifeEvent, now: Duration) -> Vec<LifeAction> {
         if self.has_ended() {
             return Vec::new();
         }
         let mut actions = Vec::new();
         self.advance(event, now, &mut actions);
-        self.check(&actions);
+        self.assert_invariants(&actions);
         actions
     }
 
-    // The promises that this machine makes, asserted after each step.
-    fn check(&self, actions: &[LifeAction]) {
+    // Asserted after each step.
+    fn assert_invariants(&self, actions: &[LifeAction]) {
         let ends = actions
             .iter()
             .filter(|action| matches!(action, LifeAction::End(_)))
             .count();
-        assert!(ends <= 1, "a request ends once");
-        assert_eq!(ends == 1, self.has_ended(), "the end is told when it comes");
+        assert!(ends <= 1, "a step ends the request at most once");
+        assert_eq!(
+            ends == 1,
+            self.has_ended(),
+            "`End` is emitted exactly when the request ends"
+        );
         if self.has_ended() {
-            assert!(self.open.is_empty(), "no engine memory held after the end");
+            assert!(self.open.is_empty(), "no open attempts after the end");
         }
     }
 
     fn advance(&mut self, event: LifeEvent, now: Duration, actions: &mut Vec<LifeAction>) {
         match (self.state.clone(), event) {
             (_, LifeEvent::CallerGone) => {
-                let refusal = Refusal::new(self.ran, RefusalCode::Cancelled, "the caller is gone");
+                let refusal =
+                    Refusal::new(self.verdict, RefusalCode::Cancelled, "the caller is gone");
                 self.refuse(refusal, actions);
             }
             (_, LifeEvent::DeadlinePassed) => {
                 let text = format!("time ran out; {}", self.last_failure);
-                let refusal = Refusal::new(self.ran, RefusalCode::DeadlinePassed, text);
+                let refusal = Refusal::new(self.verdict, RefusalCode::DeadlinePassed, text);
                 self.refuse(refusal, actions);
             }
-            (LifeState::Placing, LifeEvent::Placed { prefill, decode }) => {
-                self.begin_prefill(prefill, decode, actions);
+            (RequestState::Placing, LifeEvent::Placed { prefill, decode }) => {
+                self.start_prefill(prefill, decode, actions);
             }
-            (_, LifeEvent::PlaceRefused(refusal)) => self.refuse_place(refusal, actions),
-            (LifeState::Prefilling(at), LifeEvent::PrefillDone(reply)) => {
-                self.begin_import(at, reply, now, actions);
+            (_, LifeEvent::PlaceRefused(refusal)) => self.refuse_placement(refusal, actions),
+            (RequestState::Prefilling(attempt), LifeEvent::PrefillDone(reply)) => {
+                self.start_import(attempt, reply, now, actions);
             }
-            (LifeState::Prefilling(at), LifeEvent::PrefillFailed(failure)) => {
-                self.lose_prefill(at, failure, actions);
+            (RequestState::Prefilling(attempt), LifeEvent::PrefillFailed(failure)) => {
+                self.handle_prefill_failure(attempt, failure, actions);
             }
-            (LifeState::PlacingDecode(held), LifeEvent::DecodePlaced(target)) => {
+            (RequestState::PlacingDecode(held), LifeEvent::DecodePlaced(target)) => {
                 self.send_decode(
                     HeldCache {
                         decode: target,
@@ -173,28 +183,28 @@
                     actions,
                 );
             }
-            (LifeState::Importing(held), LifeEvent::DecodeFailed(failure)) => {
-                self.lose_import(held, Some(failure), now, actions);
+            (RequestState::Importing(held), LifeEvent::DecodeFailed(failure)) => {
+                self.handle_import_failure(held, Some(failure), now, actions);
             }
-            (LifeState::Importing(held), LifeEvent::ImportStalled | LifeEvent::StreamBroken) => {
-                self.lose_import(held, None, now, actions);
+            (RequestState::Importing(held), LifeEvent::ImportStalled | LifeEvent::StreamBroken) => {
+                self.handle_import_failure(held, None, now, actions);
             }
-            (LifeState::Importing(held), LifeEvent::Item(item)) => {
-                self.import_item(held, item, now, actions);
+            (RequestState::Importing(held), LifeEvent::Item(item)) => {
+                self.handle_import_item(held, item, now, actions);
             }
-            (LifeState::Decoding(at), LifeEvent::Item(item)) => {
-                self.decode_item(at, item, actions);
+            (RequestState::Decoding(attempt), LifeEvent::Item(item)) => {
+                self.handle_decode_item(attempt, item, actions);
             }
             (
-                LifeState::Decoding(at),
+                RequestState::Decoding(attempt),
                 LifeEvent::StreamBroken | LifeEvent::DecodeFailed(_) | LifeEvent::ImportStalled,
-            ) => self.lose_stream(at, actions),
-            // A late answer to something already given up.
+            ) => self.handle_stream_failure(attempt, actions),
+            // A late answer to an attempt that was already abandoned.
             _ => {}
         }
     }
 
-    fn begin_prefill(
+    fn start_prefill(
         &mut self,
         prefill: EngineAttempt,
         decode: EngineAttempt,
@@ -205,29 +215,29 @@
         self.resumes = 0;
         self.planned_decode = Some(decode);
         self.open.push(prefill.clone());
-        self.ran_before = self.ran;
-        self.ran = self.ran.max(RunVerdict::MayHaveRun);
-        self.state = LifeState::Prefilling(prefill.clone());
+        self.verdict_before_prefill = self.verdict;
+        self.verdict = self.verdict.max(RunVerdict::MayHaveRun);
+        self.state = RequestState::Prefilling(prefill.clone());
         actions.push(LifeAction::Prefill(prefill));
     }
 
-    fn begin_import(
+    fn start_import(
         &mut self,
         prefill: EngineAttempt,
         reply: PrefillReply,
         now: Duration,
         actions: &mut Vec<LifeAction>,
     ) {
-        self.ran = RunVerdict::Ran;
+        self.verdict = RunVerdict::Ran;
         let decode = self
             .planned_decode
             .take()
-            .expect("a plan names both engines");
+            .expect("a placement includes a decode engine");
         let held = HeldCache {
             prefill,
             decode,
             handle: reply.handle,
-            until: now + self.limits.kv_life,
+            expires_at: now + self.limits.kv_life,
         };
         self.send_decode(held, actions);
     }
@@ -240,30 +250,30 @@
             source: held.prefill.engine.clone(),
             handle: held.handle.clone(),
         });
-        self.state = LifeState::Importing(held);
+        self.state = RequestState::Importing(held);
     }
 
-    fn lose_prefill(
+    fn handle_prefill_failure(
         &mut self,
-        at: EngineAttempt,
+        attempt: EngineAttempt,
         failure: CallFailure,
         actions: &mut Vec<LifeAction>,
     ) {
-        self.last_failure = format!("prefill at {}: {failure}", at.engine);
-        self.settle(&at, &failure, actions);
+        self.last_failure = format!("prefill at {}: {failure}", attempt.engine);
+        self.close_failed(&attempt, &failure, actions);
         if failure.verdict == RunVerdict::NotRun {
-            self.ran = self.ran_before;
+            self.verdict = self.verdict_before_prefill;
             self.prefills -= 1;
             self.refusals += 1;
-            let again = failure.cause() != Some(RefusalCause::Full);
-            self.place_again(again, actions);
+            let is_retry = failure.cause() != Some(RefusalCause::Full);
+            self.place_again(is_retry, actions);
         } else {
             self.place_again(true, actions);
         }
     }
 
-    // An import failed or stalled: the KV cache may still live for another decode engine.
-    fn lose_import(
+    // The KV cache may still be available, so another decode engine can import it.
+    fn handle_import_failure(
         &mut self,
         held: HeldCache,
         failure: Option<CallFailure>,
@@ -277,27 +287,27 @@
         };
         self.last_failure = format!("decode at {}: {detail}", held.decode.engine);
         if cause == Some(RefusalCause::Full) {
-            // Another look costs nothing but a call, for as long as the KV cache lives.
+            // An order refused for lack of room costs only a call, so it doesn't count while the KV cache lasts.
             self.imports -= 1;
         }
         match &failure {
-            Some(failure) => self.settle(&held.decode, failure, actions),
+            Some(failure) => self.close_failed(&held.decode, failure, actions),
             None => {
-                self.close(&held.decode, actions);
+                self.cancel_attempt(&held.decode, actions);
                 actions.push(LifeAction::Exclude(held.decode.engine.clone()));
             }
         }
-        let lives = now < held.until && cause != Some(RefusalCause::Expired);
-        if lives && self.imports < self.limits.imports {
-            self.state = LifeState::PlacingDecode(held);
+        let is_cache_usable = now < held.expires_at && cause != Some(RefusalCause::Expired);
+        if is_cache_usable && self.imports < self.limits.imports {
+            self.state = RequestState::PlacingDecode(held);
             actions.push(LifeAction::PlaceDecode);
         } else {
-            self.close(&held.prefill, actions);
+            self.cancel_attempt(&held.prefill, actions);
             self.place_again(true, actions);
         }
     }
 
-    fn import_item(
+    fn handle_import_item(
         &mut self,
         held: HeldCache,
         item: StreamItem,
@@ -306,8 +316,8 @@
     ) {
         match item {
             StreamItem::Imported { .. } => {
-                self.forget(&held.prefill);
-                self.state = LifeState::Decoding(held.decode);
+                self.remove_open(&held.prefill);
+                self.state = RequestState::Decoding(held.decode);
             }
             StreamItem::Aborted { reason } => {
                 let failure = CallFailure {
@@ -315,68 +325,76 @@
                     refusal: None,
                     detail: reason.to_string(),
                 };
-                self.lose_import(held, Some(failure), now, actions);
+                self.handle_import_failure(held, Some(failure), now, actions);
             }
-            // Generation before the import is no engine's order of things.
+            // Protocol violation: an engine cannot generate before its import has finished.
             StreamItem::Token { .. } | StreamItem::Finished { .. } => {
-                self.lose_import(held, None, now, actions);
+                self.handle_import_failure(held, None, now, actions);
             }
         }
     }
 
-    fn decode_item(&mut self, at: EngineAttempt, item: StreamItem, actions: &mut Vec<LifeAction>) {
-        let have = self.delivered.len() as u32;
+    fn handle_decode_item(
+        &mut self,
+        attempt: EngineAttempt,
+        item: StreamItem,
+        actions: &mut Vec<LifeAction>,
+    ) {
+        let delivered_count = self.delivered.len() as u32;
         match item {
             StreamItem::Imported { .. } => {}
-            // A token that the caller already has, read again.
-            StreamItem::Token { position, .. } if position < have => {}
-            StreamItem::Token { position, text } if position == have => {
+            // Replayed by a resumed stream; already delivered.
+            StreamItem::Token { position, .. } if position < delivered_count => {}
+            StreamItem::Token { position, text } if position == delivered_count => {
                 self.delivered.push(text.clone());
                 actions.push(LifeAction::Emit { position, text });
             }
-            StreamItem::Token { .. } => self.lose_stream(at, actions),
-            StreamItem::Finished { tokens, reason, .. } if tokens == have => {
-                self.forget(&at);
+            StreamItem::Token { .. } => self.handle_stream_failure(attempt, actions),
+            StreamItem::Finished { tokens, reason, .. } if tokens == delivered_count => {
+                self.remove_open(&attempt);
                 self.end(LifeEnd::Answered { tokens, reason }, actions);
             }
-            StreamItem::Finished { .. } => self.lose_stream(at, actions),
+            StreamItem::Finished { .. } => self.handle_stream_failure(attempt, actions),
             StreamItem::Aborted { .. } => {
                 self.resumes = self.limits.resumes;
-                self.lose_stream(at, actions);
+                self.handle_stream_failure(attempt, actions);
             }
         }
     }
 
-    // The stream is read again while the engine may have it; then the rest is generated anew.
-    fn lose_stream(&mut self, at: EngineAttempt, actions: &mut Vec<LifeAction>) {
-        self.last_failure = format!("the stream from {} broke", at.engine);
+    // Resumes the stream up to the limit, then regenerates the remaining tokens on other engines.
+    fn handle_stream_failure(&mut self, attempt: EngineAttempt, actions: &mut Vec<LifeAction>) {
+        self.last_failure = format!("the stream from {} broke", attempt.engine);
         if self.resumes < self.limits.resumes {
             self.resumes += 1;
             let from = self.delivered.len() as u32;
-            actions.push(LifeAction::Resume { target: at, from });
+            actions.push(LifeAction::Resume {
+                target: attempt,
+                from,
+            });
             return;
         }
-        self.close(&at, actions);
-        actions.push(LifeAction::Exclude(at.engine));
+        self.cancel_attempt(&attempt, actions);
+        actions.push(LifeAction::Exclude(attempt.engine));
         self.place_again(true, actions);
     }
 
-    // What an engine had no room for was not done, so that doing it costs no retry.
-    fn place_again(&mut self, again: bool, actions: &mut Vec<LifeAction>) {
+    // `is_retry` is false if the engine had no room: no work was done, so the retry budget is not charged.
+    fn place_again(&mut self, is_retry: bool, actions: &mut Vec<LifeAction>) {
         if self.delivered.len() < self.caller_has {
-            // Another answer must not be spliced onto the part that the caller has.
+            // A regenerated answer may differ, so it must not be appended to the part that the caller has.
             let text = format!(
                 "what the caller has is not known any more; {}",
                 self.last_failure
             );
-            let refusal = Refusal::new(self.ran, RefusalCode::OperationLost, text);
+            let refusal = Refusal::new(self.verdict, RefusalCode::OperationLost, text);
             self.refuse(refusal, actions);
             return;
         }
-        let spent = self.prefills >= self.limits.prefills;
-        if spent || self.refusals >= self.limits.refusals {
+        let is_exhausted = self.prefills >= self.limits.prefills;
+        if is_exhausted || self.refusals >= self.limits.refusals {
             let refusal = Refusal::new(
-                self.ran,
+                self.verdict,
                 RefusalCode::BackendLost,
                 format!(
                     "gave up after {} prefills and {} refusals; {}",
@@ -386,34 +404,39 @@
             self.refuse(refusal, actions);
             return;
         }
-        self.state = LifeState::Placing;
-        actions.push(LifeAction::Place { again });
+        self.state = RequestState::Placing;
+        actions.push(LifeAction::Place { again: is_retry });
     }
 
-    // What never ran needs no cancel; anything else is cancelled until acknowledged.
-    fn settle(&mut self, at: &EngineAttempt, failure: &CallFailure, actions: &mut Vec<LifeAction>) {
+    // An attempt that never ran needs no cancel; any other is cancelled until the engine acknowledges it.
+    fn close_failed(
+        &mut self,
+        attempt: &EngineAttempt,
+        failure: &CallFailure,
+        actions: &mut Vec<LifeAction>,
+    ) {
         match failure.verdict {
-            RunVerdict::NotRun => self.forget(at),
-            RunVerdict::MayHaveRun | RunVerdict::Ran => self.close(at, actions),
+            RunVerdict::NotRun => self.remove_open(attempt),
+            RunVerdict::MayHaveRun | RunVerdict::Ran => self.cancel_attempt(attempt, actions),
         }
-        // A full engine may have room again soon; the desk remembers.
+        // A full engine is not excluded: it may soon have room again, and the placement desk keeps track of that.
         if failure.cause() != Some(RefusalCause::Full) {
-            actions.push(LifeAction::Exclude(at.engine.clone()));
+            actions.push(LifeAction::Exclude(attempt.engine.clone()));
         }
     }
 
-    fn forget(&mut self, at: &EngineAttempt) {
-        self.open.retain(|open| open != at);
+    fn remove_open(&mut self, attempt: &EngineAttempt) {
+        self.open.retain(|open| open != attempt);
     }
 
-    fn close(&mut self, at: &EngineAttempt, actions: &mut Vec<LifeAction>) {
-        self.forget(at);
-        actions.push(LifeAction::Cancel(at.clone()));
+    fn cancel_attempt(&mut self, attempt: &EngineAttempt, actions: &mut Vec<LifeAction>) {
+        self.remove_open(attempt);
+        actions.push(LifeAction::Cancel(attempt.clone()));
     }
 
-    // A refusal to place says what it knows; what ran before is added.
-    fn refuse_place(&mut self, refusal: Refusal, actions: &mut Vec<LifeAction>) {
-        let verdict = refusal.verdict.max(self.ran);
+    // Adds what is known from earlier attempts: whether they may have run, and the last failure.
+    fn refuse_placement(&mut self, refusal: Refusal, actions: &mut Vec<LifeAction>) {
+        let verdict = refusal.verdict.max(self.verdict);
         let message = match self.last_failure.is_empty() {
             true => refusal.message.clone(),
             false => format!("{}; {}", refusal.message, self.last_failure),
@@ -434,7 +457,7 @@
     }
 
     fn end(&mut self, end: LifeEnd, actions: &mut Vec<LifeAction>) {
-        self.state = LifeState::Ended;
+        self.state = RequestState::Ended;
         actions.push(LifeAction::End(end));
     }
 }
--- a/src/operation/mod.rs
+++ b/src/operation/mod.rs
@@ -1,7 +1,8 @@
-//! Requests as operations: verdicts, keys, the life of a request, cleanup.
+//! Model requests and keyed operations: the request state machine and its runner, run verdicts, operation keys and
+//! tickets, retry budget, and cleanup at engines.
 
-mod account;
 mod awaited;
+mod bookkeeping;
 mod budget;
 mod crashes;
 mod life;
--- a/src/operation/runner.rs
+++ b/src/operation/runner.rs
@@ -1,4 +1,4 @@
-//! Runs a request's life: performs its actions against engines and feeds the answers back.
+//! Runs a request: performs the actions of its state machine against engines and feeds the results back.
 
 use {
     super::{
@@ -27,26 +27,26 @@
     tokio::time::Instant,
 };
 
-/// What an import may take beyond its predicted transfer before it counts as stalled.
-const IMPORT_PATIENCE: Duration = Duration::from_millis(150);
+/// Fixed part of the import timeout, added to twice the predicted transfer time.
+const IMPORT_BASE_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// What all requests of a host share.
+/// State shared by all requests of a host.
 pub struct RunnerParts {
-    /// Where engines are chosen.
+    /// Chooses engines.
     pub desk: Arc<SharedDesk>,
-    /// Names attempts.
+    /// Generates attempt names.
     pub namer: AttemptNamer,
-    /// Ends attempts.
+    /// Cancels attempts at engines until they acknowledge.
     pub canceller: Arc<engine::Canceller>,
-    /// Allows work to be done again.
+    /// Limits retries.
     pub budget: Mutex<RetryBudget>,
-    /// Limits on each request.
+    /// Limits of each request.
     pub limits: LifeLimits,
-    /// Requests that end their servers.
+    /// Requests that crash their servers.
     pub crashes: SharedCrashes,
 }
 
-/// Runs a request to its end; the answer goes to `log`.
+/// Runs a request to its end and writes its answer to `log`.
 pub async fn run_request(
     parts: Arc<RunnerParts>,
     request: ModelRequest,
@@ -56,21 +56,21 @@
     let mut runner = RequestRunner::new(parts, request, log.clone());
     let grace = runner.request.grace;
     let deadline = runner.started + runner.request.time_limit;
-    let mut actions: VecDeque<LifeAction> = runner.life.start().into();
-    // Made once, not for each token.
+    let mut actions: VecDeque<LifeAction> = runner.state.start().into();
+    // Created once rather than for each token.
     let abandoned = std::pin::pin!(log.abandoned(grace));
     let cancelled = std::pin::pin!(cancel.wait());
     let deadline = std::pin::pin!(tokio::time::sleep_until(deadline));
-    let mut outside = std::pin::pin!(first_of(abandoned, cancelled, deadline));
+    let mut external_end = std::pin::pin!(wait_for_external_end(abandoned, cancelled, deadline));
     let end = loop {
         if let Some(end) = runner.perform_all(&mut actions) {
             break end;
         }
         let event = tokio::select! {
             event = runner.next_event() => event,
-            event = &mut outside => event,
+            event = &mut external_end => event,
         };
-        actions.extend(runner.take(event));
+        actions.extend(runner.handle_event(event));
     };
     log.push(AnswerItem::End(end.clone()));
     log.end();
@@ -78,8 +78,8 @@
     (end, std::mem::take(&mut runner.stats))
 }
 
-// What ends a request from outside, whichever comes first.
-async fn first_of(
+// Waits until the caller leaves, the request is cancelled or its deadline passes, whichever is first.
+async fn wait_for_external_end(
     abandoned: impl Future<Output = ()>,
     cancelled: impl Future<Output = ()>,
     deadline: impl Future<Output = ()>,
@@ -95,75 +95,75 @@
     pub(super) parts: Arc<RunnerParts>,
     pub(super) request: ModelRequest,
     pub(super) log: Arc<AnswerLog>,
-    pub(super) life: RequestLife,
+    pub(super) state: RequestLife,
     pub(super) awaited: Awaited,
-    pub(super) import_by: Option<Instant>,
+    pub(super) import_deadline: Option<Instant>,
     pub(super) excluded: Vec<FastStr>,
-    pub(super) prefill_held: Option<(FastStr, u64)>,
-    pub(super) decode_held: Option<FastStr>,
+    pub(super) reserved_prefill: Option<(FastStr, u64)>,
+    pub(super) reserved_decode: Option<FastStr>,
     pub(super) origin: Arc<EngineAttempt>,
-    pub(super) kv_until: Duration,
-    pub(super) unimported: u64,
+    pub(super) kv_expires_at: Duration,
+    pub(super) unimported_tokens: u64,
     pub(super) started: Instant,
     pub(super) arrived: Duration,
     pub(super) last_token: Option<Instant>,
     pub(super) stats: RequestStats,
-    // Engines that broke off under the request, of which it is not known yet whether they ended.
-    pub(super) broken: Vec<(FastStr, SocketAddr)>,
+    // Engines whose connection broke during the request and that were not probed for a crash yet.
+    pub(super) unchecked_crashes: Vec<(FastStr, SocketAddr)>,
 }
 
 impl RequestRunner {
     fn new(parts: Arc<RunnerParts>, request: ModelRequest, log: Arc<AnswerLog>) -> Self {
         let arrived = parts.desk.now();
-        let none = EngineAttempt {
+        let no_origin = EngineAttempt {
             engine: FastStr::empty(),
             attempt: FastStr::empty(),
         };
         parts.budget.lock().expect("budget").earn();
-        let life = match &request.adopted {
+        let state = match &request.adopted {
             Some(adopted) => {
                 let target = adopted.target.clone();
                 RequestLife::adopt(parts.limits, target, adopted.caller_has)
             }
             None => RequestLife::new(parts.limits),
         };
-        let (origin, decode_held) = match &request.adopted {
+        let (origin, reserved_decode) = match &request.adopted {
             Some(adopted) => {
                 let engine = adopted.target.engine.clone();
                 parts.desk.change(|desk, _| desk.decode_adopted(&engine));
                 (adopted.target.clone(), Some(engine))
             }
-            None => (none, None),
+            None => (no_origin, None),
         };
         Self {
-            life,
+            state,
             parts,
             request,
             log,
             awaited: Awaited::Nothing,
-            import_by: None,
+            import_deadline: None,
             excluded: Vec::new(),
-            prefill_held: None,
-            decode_held,
+            reserved_prefill: None,
+            reserved_decode,
             origin: Arc::new(origin),
-            kv_until: Duration::ZERO,
-            unimported: 0,
+            kv_expires_at: Duration::ZERO,
+            unimported_tokens: 0,
             started: Instant::now(),
             arrived,
             last_token: None,
             stats: RequestStats::default(),
-            broken: Vec::new(),
+            unchecked_crashes: Vec::new(),
         }
     }
 
-    // Performs actions until one has to be waited for, or the life ends.
+    // Performs all actions; returns the end of the request if it is among them.
     fn perform_all(&mut self, actions: &mut VecDeque<LifeAction>) -> Option<LifeEnd> {
         while let Some(action) = actions.pop_front() {
             match action {
                 LifeAction::Place { again } => self.place(again, actions),
                 LifeAction::PlaceDecode => {
                     self.release_decode();
-                    self.ask(PlaceStage::DecodeOnly(self.kv_until));
+                    self.request_placement(PlaceStage::DecodeOnly(self.kv_expires_at));
                 }
                 LifeAction::Prefill(target) => self.send_prefill(target),
                 LifeAction::Decode {
@@ -189,14 +189,14 @@
             let refusal =
                 Refusal::not_run(RefusalCode::Overloaded, text).after(Duration::from_secs(1));
             let event = LifeEvent::PlaceRefused(refusal);
-            actions.extend(self.take(event));
+            actions.extend(self.handle_event(event));
             return;
         }
-        self.ask(PlaceStage::Whole);
+        self.request_placement(PlaceStage::Whole);
     }
 
-    fn ask(&mut self, stage: PlaceStage) {
-        let delivered = self.life.delivered().len();
+    fn request_placement(&mut self, stage: PlaceStage) {
+        let delivered = self.state.delivered().len();
         let question = PlaceRequest {
             ticket: 0,
             request: self.request.id.clone(),
@@ -211,17 +211,20 @@
             excluded: self.excluded.clone(),
             stage,
         };
-        let (parts, digest, verdict) =
-            (self.parts.clone(), self.request.digest, self.life.verdict());
-        let broken = std::mem::take(&mut self.broken);
-        let asked = async move {
-            learn_ends(&parts, digest, broken).await;
+        let (parts, digest, verdict) = (
+            self.parts.clone(),
+            self.request.digest,
+            self.state.verdict(),
+        );
+        let unchecked = std::mem::take(&mut self.unchecked_crashes);
+        let placement = async move {
+            check_for_crashes(&parts, digest, unchecked).await;
             match parts.crashes.check(digest, verdict) {
                 Ok(()) => parts.desk.ask(question).await,
                 Err(refusal) => DeskAnswer::Refused(refusal),
             }
         };
-        self.awaited = Awaited::Desk(asked.boxed(), stage);
+        self.awaited = Awaited::Desk(placement.boxed(), stage);
     }
 
     fn link(&self, engine: &str) -> Option<Arc<EngineLink>> {
@@ -233,13 +236,13 @@
             attempt: target.attempt,
             model: self.request.model.clone(),
             prompt: self.request.prompt.clone(),
-            delivered: self.life.delivered().to_vec(),
+            delivered: self.state.delivered().to_vec(),
             priority: self.request.priority,
             tenant: self.request.tenant.clone(),
         };
         self.awaited = Awaited::Prefill(match self.link(&target.engine) {
             Some(link) => (link.prefill)(order),
-            None => awaited::gone(),
+            None => awaited::unlisted_engine(),
         });
     }
 
@@ -259,20 +262,20 @@
         };
         self.awaited = Awaited::Opening(match self.link(&target.engine) {
             Some(link) => (link.decode)(order),
-            None => awaited::gone(),
+            None => awaited::unlisted_engine(),
         });
-        self.import_by = Some(Instant::now() + self.import_patience());
+        self.import_deadline = Some(Instant::now() + self.import_timeout());
         self.origin = Arc::new(target);
     }
 
-    // Twice the predicted transfer, and then some.
-    fn import_patience(&self) -> Duration {
+    // Twice the predicted transfer time plus a fixed allowance.
+    fn import_timeout(&self) -> Duration {
         let tokens = engine::estimate_tokens(&self.request.prompt) as f64;
         let seconds = self.parts.desk.read(|desk| {
             let tuning = desk.tuning();
             tokens * tuning.kv_bytes_per_token / tuning.link_rate
         });
-        IMPORT_PATIENCE + Duration::from_secs_f64(seconds * 2.0)
+        IMPORT_BASE_TIMEOUT + Duration::from_secs_f64(seconds * 2.0)
     }
 
     fn send_resume(&mut self, target: &EngineAttempt, from: u32) {
@@ -282,13 +285,13 @@
                 from,
                 tenant: self.request.tenant.clone(),
             }),
-            None => awaited::gone(),
+            None => awaited::unlisted_engine(),
         };
-        let paused = async move {
-            tokio::time::sleep(awaited::RESUME_PAUSE).await;
+        let delayed = async move {
+            tokio::time::sleep(awaited::RESUME_DELAY).await;
             opened.await
         };
-        self.awaited = Awaited::Opening(paused.boxed());
+        self.awaited = Awaited::Opening(delayed.boxed());
     }
 
     fn emit(&mut self, position: u32, text: FastStr) {
@@ -312,41 +315,43 @@
         });
     }
 
-    // The next thing that happens to what the life waits for.
+    // Waits for the next event of the pending call or stream.
     async fn next_event(&mut self) -> LifeEvent {
         match &mut self.awaited {
             Awaited::Nothing => std::future::pending().await,
             Awaited::Desk(answer, stage) => {
                 let stage = *stage;
                 let answer = answer.await;
-                self.placed(answer, stage)
+                self.placement_event(answer, stage)
             }
             Awaited::Prefill(reply) => match reply.await {
                 Ok(reply) => LifeEvent::PrefillDone(reply),
                 Err(failure) => LifeEvent::PrefillFailed(failure),
             },
-            Awaited::Opening(opening) => match awaited::within(self.import_by, opening).await {
-                Some(Ok(items)) => {
-                    self.awaited = Awaited::Items(items);
-                    awaited::next_item(&mut self.awaited, self.import_by).await
+            Awaited::Opening(opening) => {
+                match awaited::until_deadline(self.import_deadline, opening).await {
+                    Some(Ok(items)) => {
+                        self.awaited = Awaited::Items(items);
+                        awaited::next_item(&mut self.awaited, self.import_deadline).await
+                    }
+                    Some(Err(failure)) => LifeEvent::DecodeFailed(failure),
+                    None => LifeEvent::ImportStalled,
                 }
-                Some(Err(failure)) => LifeEvent::DecodeFailed(failure),
-                None => LifeEvent::ImportStalled,
-            },
-            Awaited::Items(_) => awaited::next_item(&mut self.awaited, self.import_by).await,
+            }
+            Awaited::Items(_) => awaited::next_item(&mut self.awaited, self.import_deadline).await,
         }
     }
 
-    fn placed(&mut self, answer: DeskAnswer, stage: PlaceStage) -> LifeEvent {
+    fn placement_event(&mut self, answer: DeskAnswer, stage: PlaceStage) -> LifeEvent {
         match answer {
             DeskAnswer::Refused(refusal) => LifeEvent::PlaceRefused(refusal),
             DeskAnswer::Placed { prefill, decode } => {
-                self.decode_held = Some(decode.clone());
+                self.reserved_decode = Some(decode.clone());
                 let decode = self.name_attempt(decode);
                 match (prefill, stage) {
                     (Some(prefill), PlaceStage::Whole) => {
                         let tokens = self.prompt_tokens();
-                        self.prefill_held = Some((prefill.clone(), tokens));
+                        self.reserved_prefill = Some((prefill.clone(), tokens));
                         let prefill = self.name_attempt(prefill);
                         LifeEvent::Placed { prefill, decode }
                     }
@@ -357,7 +362,7 @@
     }
 
     fn prompt_tokens(&self) -> u64 {
-        engine::estimate_tokens(&self.request.prompt) + self.life.delivered().len() as u64
+        engine::estimate_tokens(&self.request.prompt) + self.state.delivered().len() as u64
     }
 
     fn name_attempt(&self, engine: FastStr) -> EngineAttempt {
@@ -365,12 +370,12 @@
         EngineAttempt { engine, attempt }
     }
 
-    // Accounts for an event, then lets the life decide.
-    fn take(&mut self, event: LifeEvent) -> Vec<LifeAction> {
-        self.account(&event);
+    // Records an event and passes it to the state machine.
+    fn handle_event(&mut self, event: LifeEvent) -> Vec<LifeAction> {
+        self.record_event(&event);
         let now = self.parts.desk.now();
-        let actions = self.life.step(event, now);
-        let waits = actions.iter().any(|action| {
+        let actions = self.state.step(event, now);
+        let starts_call = actions.iter().any(|action| {
             matches!(
                 action,
                 LifeAction::Place { .. }
@@ -380,28 +385,28 @@
                     | LifeAction::Resume { .. }
             )
         });
-        if waits {
+        if starts_call {
             self.awaited = Awaited::Nothing;
         }
         actions
     }
 }
 
-/// Finds out which of the engines that broke off under a request ended.
-pub(super) async fn learn_ends(
+/// Checks which of the engines that lost a request's connection have crashed.
+pub(super) async fn check_for_crashes(
     parts: &RunnerParts,
     digest: RequestDigest,
-    broken: Vec<(FastStr, SocketAddr)>,
+    unchecked: Vec<(FastStr, SocketAddr)>,
 ) {
-    for (engine, address) in broken {
+    for (engine, address) in unchecked {
         parts.crashes.learn_end(digest, &engine, address).await;
     }
 }
 
 impl Drop for RequestRunner {
-    // Also when the task is dropped in the middle: what was sent is cancelled, places are given back.
+    // Cancels open attempts and releases reservations, also if the task is dropped before the request ends.
     fn drop(&mut self) {
-        for open in self.life.open_attempts() {
+        for open in self.state.open_attempts() {
             self.parts.canceller.add(open.clone());
         }
         self.release_prefill(None);
