--- a/src/operation/position.rs
+++ b/src/operation/position.rs
@@ -1,17 +1,17 @@
-//! Ids of streamed events: where a token came from, so that any host can find the rest.
+//! Ids of streamed events. They name the attempt that generated a token, so that any host can resume the stream.
 
 use {faststr::FastStr, std::fmt, std::str::FromStr};
 
 const SEPARATOR: char = '~';
 
-/// The place of one token in a stream.
+/// The position of one token in the stream of a decode attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EventPosition {
     /// The decode engine.
     pub engine: FastStr,
-    /// The attempt there.
+    /// The attempt's name at that engine.
     pub attempt: FastStr,
-    /// The token's place in the answer, from 0.
+    /// The token's index in the answer, starting at 0.
     pub position: u32,
 }
 
@@ -34,11 +34,11 @@
         let [engine, attempt, position] = parts[..] else {
             return Err(());
         };
-        let is_name = |text: &str| {
-            let fits = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '.';
-            !text.is_empty() && text.len() <= 128 && text.chars().all(fits)
+        let is_valid_name = |text: &str| {
+            let is_allowed = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '.';
+            !text.is_empty() && text.len() <= 128 && text.chars().all(is_allowed)
         };
-        if !is_name(engine) || !is_name(attempt) {
+        if !is_valid_name(engine) || !is_valid_name(attempt) {
             return Err(());
         }
         Ok(Self {
--- a/src/operation/replay.rs
+++ b/src/operation/replay.rs
@@ -1,4 +1,4 @@
-//! A growing list that any number of readers follow, from any place, also after its end.
+//! An append-only log that any number of readers can follow from any index, also after it has ended.
 
 use {
     std::{
@@ -8,7 +8,7 @@
     tokio::{sync::Notify, time::Instant},
 };
 
-/// Items in order, and who reads them.
+/// An append-only log of items that tracks its readers.
 #[derive(Debug)]
 pub struct ReplayLog<T> {
     inner: Mutex<LogInner<T>>,
@@ -25,7 +25,7 @@
 }
 
 impl<T: Clone> ReplayLog<T> {
-    /// An empty list.
+    /// Creates an empty log.
     pub fn new() -> Arc<Self> {
         Arc::new(Self {
             inner: Mutex::new(LogInner {
@@ -43,7 +43,7 @@
         self.inner.lock().expect("replay log")
     }
 
-    /// Adds an item and wakes the readers; after the end nothing is added.
+    /// Appends an item and wakes the readers; does nothing after the end.
     pub fn push(&self, item: T) {
         let mut inner = self.inner();
         if inner.ended.is_none() {
@@ -53,24 +53,24 @@
         self.changed.notify_waiters();
     }
 
-    /// Ends the list; only the first end counts.
+    /// Ends the log; later calls keep the time of the first.
     pub fn end(&self) {
         self.inner().ended.get_or_insert_with(Instant::now);
         self.changed.notify_waiters();
     }
 
-    /// Whether the list has ended.
+    /// Returns whether the log has ended.
     pub fn has_ended(&self) -> bool {
         self.inner().ended.is_some()
     }
 
-    /// Whether the list ended at least `keep` ago.
-    pub fn ended_before(&self, keep: Duration) -> bool {
+    /// Returns whether the log ended at least `min_age` ago.
+    pub fn ended_before(&self, min_age: Duration) -> bool {
         let ended = self.inner().ended;
-        ended.is_some_and(|ended| ended.elapsed() >= keep)
+        ended.is_some_and(|ended| ended.elapsed() >= min_age)
     }
 
-    /// For how long nobody has read; zero while somebody does.
+    /// Returns how long the log has had no reader; zero while it has one.
     pub fn idle_for(&self) -> Duration {
         let inner = self.inner();
         match inner.readers {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Done when nobody has read for `grace`.
+    /// Waits until the log has had no reader for `grace`.
     pub async fn abandoned(&self, grace: Duration) {
         loop {
             let changed = self.readers_changed.notified();
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Done when the list has ended.
+    /// Waits until the log has ended.
     pub async fn ended(&self) {
         loop {
             let changed = self.changed.notified();
@@ -117,7 +117,7 @@
         }
     }
 
-    /// A reader from the item at `next` on.
+    /// Creates a reader that starts at the item with index `next`.
     pub fn reader(self: &Arc<Self>, next: usize) -> ReplayReader<T> {
         self.inner().readers += 1;
         self.readers_changed.notify_waiters();
@@ -128,7 +128,7 @@
     }
 }
 
-/// Follows a [`ReplayLog`]; counts as a reader for as long as it lives.
+/// Follows a [`ReplayLog`]; counts as one of its readers until it is dropped.
 #[derive(Debug)]
 pub struct ReplayReader<T> {
     log: Arc<ReplayLog<T>>,
@@ -136,7 +136,7 @@
 }
 
 impl<T> ReplayReader<T> {
-    /// The next item, once it is there; none after the last.
+    /// Waits for the next item; returns `None` after the last item of an ended log.
     pub async fn next(&mut self) -> Option<T>
     where
         T: Clone,
--- a/src/operation/request.rs
+++ b/src/operation/request.rs
@@ -1,4 +1,4 @@
-//! A model request, what its caller is told, and what it took.
+//! A model request, the answer sent to its caller, and its statistics.
 
 use {
     super::{
@@ -10,100 +10,100 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// A model request to run.
+/// A model request to be run.
 #[derive(Debug, Clone)]
 pub struct ModelRequest {
-    /// Its id in logs.
+    /// Request id used in logs.
     pub id: FastStr,
-    /// The model.
+    /// Name of the model.
     pub model: FastStr,
-    /// The whole prompt.
+    /// The complete prompt.
     pub prompt: FastStr,
-    /// The prompt's block hashes.
+    /// Hashes of the prompt's blocks, for matching cached prefixes.
     pub blocks: Arc<[u64]>,
-    /// Tokens to generate at most.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// Whom it is for.
+    /// The tenant that the request belongs to.
     pub tenant: FastStr,
-    /// Larger is more urgent.
+    /// Priority; larger values are more urgent.
     pub priority: u8,
-    /// The prefill pools' selectors.
+    /// Label selectors of the prefill pools.
     pub prefills: Arc<[object::LabelSelector]>,
-    /// The decode pools' selectors.
+    /// Label selectors of the decode pools.
     pub decodes: Arc<[object::LabelSelector]>,
-    /// Longest time until the end.
+    /// Time limit from arrival to completion.
     pub time_limit: Duration,
-    /// How long nobody may read before the request is cancelled.
+    /// How long the answer may have no reader before the request is cancelled.
     pub grace: Duration,
-    /// Which request it is, whatever its id.
+    /// Digest that identifies repeats of the same request, independent of the request id.
     pub digest: RequestDigest,
-    /// An attempt of another host to go on with.
+    /// An attempt started by another host that this host continues.
     pub adopted: Option<AdoptedAttempt>,
 }
 
-/// An attempt that another host began and whose caller came here.
+/// An attempt started by another host whose caller reconnected to this host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AdoptedAttempt {
     /// The attempt.
     pub target: EngineAttempt,
-    /// Tokens that the caller has.
+    /// Number of tokens that the caller already has.
     pub caller_has: usize,
 }
 
-/// One thing that a caller is told.
+/// One item of the answer sent to a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AnswerItem {
     /// The next token.
     Token {
-        /// Its place in the answer, from 0.
+        /// Index in the answer, starting at 0.
         position: u32,
-        /// Its text.
+        /// Text of the token.
         text: FastStr,
-        /// Where it was generated, for the event's id.
+        /// The attempt that generated it, used for the event id.
         origin: Arc<EngineAttempt>,
     },
-    /// The end.
+    /// The end of the answer.
     End(LifeEnd),
 }
 
-/// What a request told its caller so far, for any number of readers.
+/// The answer of a request so far, for any number of readers.
 pub type AnswerLog = ReplayLog<AnswerItem>;
 
-/// What a request took.
+/// Timing and token statistics of a request.
 #[derive(Debug, Clone, Default)]
 pub struct RequestStats {
-    /// From the arrival to the first token.
+    /// Time from arrival to the first token.
     pub first_token: Option<Duration>,
-    /// Between consecutive tokens.
+    /// Times between consecutive tokens.
     pub gaps: Vec<Duration>,
-    /// From the arrival to the end.
+    /// Time from arrival to the end of the request.
     pub whole: Duration,
-    /// Prompt tokens computed.
+    /// Prompt tokens computed by prefill engines.
     pub computed_tokens: u64,
-    /// Of these, computed for a KV cache that no decode engine imported, or computed again.
+    /// Computed tokens whose KV cache was never imported by a decode engine.
     pub wasted_tokens: u64,
-    /// Prefills that engines took.
+    /// Number of prefills started, without those that engines refused.
     pub prefills: u32,
-    /// Whether an engine broke off while it computed the prompt.
+    /// Whether the connection to an engine broke during a prefill.
     pub prefill_broke: bool,
 }
 
-/// Share of a request's gaps between tokens that have to meet the target.
+/// Share of the gaps between tokens that must meet the target.
 const GAP_PERCENTILE: f64 = 0.95;
 
 impl RequestStats {
-    /// The 95th percentile of the gaps between tokens; zero for fewer than two tokens.
+    /// Returns the 95th percentile of the gaps between tokens; zero for fewer than two tokens.
     pub fn gap_p95(&self) -> Duration {
         let mut gaps = self.gaps.clone();
         gaps.sort_unstable();
-        let place = (gaps.len() as f64 * GAP_PERCENTILE).ceil() as usize;
-        match place.checked_sub(1) {
-            Some(place) => gaps[place],
+        let rank = (gaps.len() as f64 * GAP_PERCENTILE).ceil() as usize;
+        match rank.checked_sub(1) {
+            Some(index) => gaps[index],
             None => Duration::ZERO,
         }
     }
 
-    /// Whether the request met both targets.
+    /// Returns whether the request met both latency targets.
     pub fn meets(&self, first_token: Duration, between_tokens: Duration) -> bool {
         let first = self.first_token.is_some_and(|time| time <= first_token);
         first && self.gap_p95() <= between_tokens
--- a/src/operation/signal.rs
+++ b/src/operation/signal.rs
@@ -1,11 +1,11 @@
-//! A signal that is set once, for all that wait for it.
+//! A one-shot signal with any number of waiters.
 
 use {
     std::sync::atomic::{AtomicBool, Ordering},
     tokio::sync::Notify,
 };
 
-/// A signal that is set once.
+/// A signal that can be set once and never reset.
 #[derive(Debug, Default)]
 pub struct OnceSignal {
     is_set: AtomicBool,
@@ -13,18 +13,18 @@
 }
 
 impl OnceSignal {
-    /// Sets it; a second time changes nothing.
+    /// Sets the signal and wakes all waiters; later calls have no effect.
     pub fn set(&self) {
         self.is_set.store(true, Ordering::Release);
         self.notify.notify_waiters();
     }
 
-    /// Whether it is set.
+    /// Returns whether the signal is set.
     pub fn is_set(&self) -> bool {
         self.is_set.load(Ordering::Acquire)
     }
 
-    /// Done once it is set.
+    /// Waits until the signal is set.
     pub async fn wait(&self) {
         loop {
             let notified = self.notify.notified();
--- a/src/operation/step.rs
+++ b/src/operation/step.rs
@@ -1,4 +1,4 @@
-//! What happens in the life of a model request, and what is done about it.
+//! Inputs and outputs of the request state machine: events, actions and limits.
 
 use {
     super::verdict::Refusal,
@@ -7,18 +7,18 @@
     std::time::Duration,
 };
 
-/// Limits on what one request may cost.
+/// Limits on the work done for one request.
 #[derive(Debug, Clone, Copy)]
 pub struct LifeLimits {
-    /// Prefills that engines took, at most.
+    /// Maximum number of prefills, without those that engines refused.
     pub prefills: u32,
-    /// Prefill orders that engines did not take, at most.
+    /// Maximum number of prefill orders that engines refused or that did not reach them.
     pub refusals: u32,
-    /// Decode orders sent at most for one KV cache.
+    /// Maximum number of decode orders for one KV cache, without those refused by a full engine.
     pub imports: u32,
-    /// Reconnects to a decode engine whose stream broke.
+    /// Maximum number of times the stream of one decode attempt is resumed.
     pub resumes: u32,
-    /// How long a KV cache may be counted on after its prefill.
+    /// How long after its prefill a KV cache is assumed to be available.
     pub kv_life: Duration,
 }
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// An attempt at an engine.
+/// An attempt to run a prefill or decode at an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct EngineAttempt {
     /// The engine's name.
@@ -43,75 +43,75 @@
     pub attempt: FastStr,
 }
 
-/// What happened to a request.
+/// Input to the request state machine.
 #[derive(Debug, Clone)]
 pub enum LifeEvent {
     /// Engines were chosen and the attempts named.
     Placed {
-        /// Where to compute the prompt.
+        /// The prefill attempt.
         prefill: EngineAttempt,
-        /// Where to generate.
+        /// The decode attempt.
         decode: EngineAttempt,
     },
     /// Another decode engine was chosen for the same KV cache.
     DecodePlaced(EngineAttempt),
-    /// No engine was found, or the request was dropped before it was handed over.
+    /// No engine was found, or the request was refused before it was sent to one.
     PlaceRefused(Refusal),
-    /// The KV cache is computed.
+    /// The prefill succeeded and its KV cache is available.
     PrefillDone(PrefillReply),
-    /// The prefill gave nothing.
+    /// The prefill failed or was refused.
     PrefillFailed(CallFailure),
-    /// The decode order was not taken, or its answer was lost.
+    /// The decode order was refused, or its answer was lost.
     DecodeFailed(CallFailure),
-    /// The import did not end in time.
+    /// The KV cache import did not finish in time.
     ImportStalled,
-    /// The decode engine said something.
+    /// The decode engine sent a stream item.
     Item(StreamItem),
-    /// The decode engine's stream ended too early, or could not be read again.
+    /// The decode engine's stream ended too early or could not be resumed.
     StreamBroken,
-    /// The caller is gone or cancelled.
+    /// The caller disconnected or cancelled the request.
     CallerGone,
-    /// Time ran out.
+    /// The request's time limit expired.
     DeadlinePassed,
 }
 
-/// What to do next; at most one action of a step waits for an answer.
+/// Output of the request state machine; at most one action of a step is answered by a later event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LifeAction {
     /// Choose engines; answered by `Placed` or `PlaceRefused`.
     Place {
-        /// Work is being done again, which the retry budget has to allow.
+        /// Whether this repeats work, so that the retry budget must allow it.
         again: bool,
     },
     /// Choose another decode engine; answered by `DecodePlaced` or `PlaceRefused`.
     PlaceDecode,
     /// Start the prefill; answered by `PrefillDone` or `PrefillFailed`.
     Prefill(EngineAttempt),
-    /// Start import and generation; answered by `Item`s, `DecodeFailed` or `ImportStalled`.
+    /// Start the import and generation; answered by `Item`s, `DecodeFailed` or `ImportStalled`.
     Decode {
-        /// The attempt to start.
+        /// The decode attempt to start.
         target: EngineAttempt,
-        /// Engine that holds the KV cache.
+        /// The prefill engine that holds the KV cache.
         source: FastStr,
-        /// The KV cache's name there.
+        /// Handle of the KV cache at `source`.
         handle: FastStr,
     },
-    /// Read the stream again; answered like `Decode`.
+    /// Resume the stream; answered like `Decode`.
     Resume {
-        /// The attempt to read.
+        /// The decode attempt to resume.
         target: EngineAttempt,
-        /// First token wanted.
+        /// Index of the first token to send.
         from: u32,
     },
     /// Do not choose this engine for this request again.
     Exclude(FastStr),
-    /// End an attempt, until the engine acknowledges.
+    /// Cancel an attempt, repeating the order until the engine acknowledges it.
     Cancel(EngineAttempt),
-    /// Give the caller the next token.
+    /// Send the next token to the caller.
     Emit {
-        /// Its place in the answer.
+        /// Index in the answer, starting at 0.
         position: u32,
-        /// Its text.
+        /// Text of the token.
         text: FastStr,
     },
     /// The request ended.
@@ -121,13 +121,13 @@
 /// How a request ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LifeEnd {
-    /// The caller has its whole answer.
+    /// The answer is complete.
     Answered {
-        /// Tokens in the answer.
+        /// Number of tokens in the answer.
         tokens: u32,
-        /// Why generation ended, as callers know it.
+        /// Finish reason, as sent to the caller.
         reason: FastStr,
     },
-    /// The caller is told why there is no whole answer.
+    /// The request was refused or failed, and the caller receives the reason.
     Refused(Refusal),
 }
--- a/src/operation/table.rs
+++ b/src/operation/table.rs
@@ -1,4 +1,4 @@
-//! The operations of this host by their key: live, finished, or unknown.
+//! The keyed operations known to this host, running or finished.
 
 use {
     super::{
@@ -11,53 +11,54 @@
     std::{collections::HashMap, sync::Arc, time::Duration},
 };
 
-/// Operations remembered at most; beyond, keyed requests are refused rather than forgotten.
+/// Maximum number of operations in the table. A full table refuses new keyed requests, because evicting a known
+/// operation could let it run twice.
 pub const TABLE_LIMIT: usize = 200_000;
 
-/// The answer of a plain service, kept to be given again.
+/// The reply of a plain service, stored so that it can be sent again.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlainReply {
     /// HTTP status.
     pub status: u16,
-    /// Headers that the caller gets.
+    /// Headers sent to the caller.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// How a plain call ended.
+/// Result of a plain call.
 pub type PlainOutcome = Result<PlainReply, Refusal>;
 
-/// The answer of an operation, live or finished.
+/// The answer of an operation, running or finished.
 #[derive(Debug, Clone)]
 pub enum OperationAnswer {
-    /// Of a model request.
+    /// Answer of a model request.
     Model {
-        /// What the caller was told so far.
+        /// The answer so far.
         log: Arc<AnswerLog>,
-        /// Cancels it.
+        /// Cancels the request.
         cancel: Arc<OnceSignal>,
     },
-    /// Of a plain call: one item, once it ended.
+    /// Result of a plain call: a log with one item, added when the call has ended.
     Plain(Arc<ReplayLog<PlainOutcome>>),
 }
 
 impl OperationAnswer {
-    /// Whether it ended at least `keep` ago.
-    fn ended_before(&self, keep: Duration) -> bool {
+    /// Returns whether the operation ended at least `min_age` ago.
+    fn ended_before(&self, min_age: Duration) -> bool {
         match self {
-            Self::Model { log, .. } => log.ended_before(keep),
-            Self::Plain(log) => log.ended_before(keep),
+            Self::Model { log, .. } => log.ended_before(min_age),
+            Self::Plain(log) => log.ended_before(min_age),
         }
     }
 }
 
-/// Names an operation: whose it is, and its key.
+/// Identifies an operation by tenant and key.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct OperationName {
-    /// The tenant; others cannot see it.
+    /// The tenant that owns the operation; other tenants cannot access it.
     pub tenant: FastStr,
-    /// The key.
+    /// The operation key.
     pub key: FastStr,
 }
 
@@ -67,41 +68,45 @@
     answer: OperationAnswer,
 }
 
-/// What the table says of a keyed request.
+/// Result of looking up or adding a keyed request.
 #[derive(Debug)]
 pub enum Admission {
-    /// It is new; the answer is in the table now.
+    /// The key is new; the answer was added to the table.
     New(OperationAnswer),
-    /// It is known: attach to this answer.
+    /// The key is known; attach to this answer.
     Known(OperationAnswer),
-    /// The key was used for another request.
+    /// The key was already used for a different request.
     Conflict,
     /// The table is full.
     Full,
 }
 
-/// The operations of this host by their key.
+/// The operations of this host, indexed by tenant and key.
 #[derive(Debug)]
 pub struct OperationTable {
     records: HashMap<OperationName, OperationRecord>,
-    remember: Duration,
+    retention: Duration,
 }
 
 impl OperationTable {
-    /// A table that remembers ended operations for `remember`.
+    /// Creates a table that keeps ended operations for `retention`.
     ///
     /// # Panics
     ///
-    /// If a ticket could be used longer than its operation is remembered: a call could run twice.
-    pub fn new(remember: Duration) -> Self {
-        assert!(remember > TICKET_LIFE, "tickets end before their records");
+    /// Panics if `retention` does not exceed the ticket lifetime: a ticket that outlives its record could run a call
+    /// twice.
+    pub fn new(retention: Duration) -> Self {
+        assert!(
+            retention > TICKET_LIFE,
+            "retention must exceed the ticket lifetime"
+        );
         Self {
             records: HashMap::new(),
-            remember,
+            retention,
         }
     }
 
-    /// Looks a request up, or enters it with a new answer.
+    /// Looks up a request, or adds it with a new answer.
     pub fn admit(
         &mut self,
         name: OperationName,
@@ -126,24 +131,24 @@
         Admission::New(answer)
     }
 
-    /// The answer of a known operation.
+    /// Returns the answer of a known operation.
     pub fn find(&self, name: &OperationName) -> Option<&OperationAnswer> {
         self.records.get(name).map(|record| &record.answer)
     }
 
-    /// Forgets operations that ended long enough ago; a live one never.
+    /// Removes operations whose retention has expired; running operations are kept.
     pub fn expire(&mut self) {
-        let remember = self.remember;
+        let retention = self.retention;
         self.records
-            .retain(|_, record| !record.answer.ended_before(remember));
+            .retain(|_, record| !record.answer.ended_before(retention));
     }
 
-    /// Operations known.
+    /// Returns the number of known operations.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether none is known.
+    /// Returns whether no operation is known.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
--- a/src/operation/ticket.rs
+++ b/src/operation/ticket.rs
@@ -1,6 +1,6 @@
-//! Tickets: keys that name the one host incarnation that may run an operation.
+//! Tickets: operation keys that name the only host incarnation allowed to run the operation.
 //!
-//! `docs/design/operations.md` weighs this against other ways.
+//! `docs/design/operations.md` compares this with alternatives.
 
 use {
     faststr::FastStr,
@@ -9,19 +9,19 @@
 
 const TICKET_VERSION: &str = "bp1";
 
-/// How long a ticket may be used after it was issued, on its owner's own clock.
+/// Lifetime of a ticket, measured on the clock of the host that issued it.
 pub const TICKET_LIFE: Duration = Duration::from_secs(240);
 
-/// A key that only its owner may run.
+/// A key whose operation may be run only by the host incarnation that issued it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct OperationTicket {
-    /// Name of the owner.
+    /// Name of the issuing host.
     pub host: FastStr,
-    /// Incarnation of the owner.
+    /// Incarnation of the issuing host.
     pub incarnation: FastStr,
-    /// Seconds after the owner's start at which it was issued.
+    /// Issue time, in seconds since the start of the issuing host.
     pub issued: u64,
-    /// Random, so that nobody guesses another's ticket.
+    /// Random value that makes tickets hard to guess.
     pub salt: u64,
 }
 
@@ -60,22 +60,22 @@
     }
 }
 
-/// What a key is to this host.
+/// Classification of a key by this host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum KeyOwner {
-    /// A ticket of this incarnation that may be used.
+    /// A valid ticket issued by this incarnation.
     Own,
-    /// A ticket of this incarnation that is too old, or from its future.
+    /// A ticket of this incarnation that has expired or whose issue time is in the future.
     OwnExpired,
-    /// A ticket of an earlier incarnation of this host, whose memory is gone.
+    /// A ticket of another incarnation of this host, whose records are lost.
     Gone,
-    /// A ticket of another host.
+    /// A ticket issued by another host.
     Other(OperationTicket),
-    /// A key that a caller made up.
+    /// A key chosen by the caller; not a ticket.
     Caller,
 }
 
-/// Issues and recognizes the tickets of one host incarnation.
+/// Issues and classifies tickets for one host incarnation.
 #[derive(Debug)]
 pub struct TicketBook {
     host: FastStr,
@@ -83,12 +83,12 @@
 }
 
 impl TicketBook {
-    /// The book of a host incarnation.
+    /// Creates a ticket book for a host incarnation.
     pub fn new(host: FastStr, incarnation: FastStr) -> Self {
         Self { host, incarnation }
     }
 
-    /// A new ticket, at a time since the host's start.
+    /// Issues a ticket; `now` is the time since the host's start.
     pub fn issue(&self, now: Duration) -> OperationTicket {
         OperationTicket {
             host: self.host.clone(),
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Whose a key is, at a time since the host's start.
+    /// Classifies a key; `now` is the time since the host's start.
     pub fn owner(&self, key: &str, now: Duration) -> KeyOwner {
         let Ok(ticket) = key.parse::<OperationTicket>() else {
             return KeyOwner::Caller;
--- a/src/operation/verdict.rs
+++ b/src/operation/verdict.rs
@@ -1,27 +1,29 @@
-//! Whether a request may have run, and how a refusal says so.
+//! Run verdicts, refusal codes and refusals.
+//!
+//! Every refusal tells the caller whether the request may have run.
 
 use {
     serde::{Deserialize, Serialize},
     std::{fmt, time::Duration},
 };
 
-/// Whether a request may have had its effect at a backend server.
+/// Whether a request may have taken effect at a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RunVerdict {
-    /// It had no effect: nothing that could run it was sent.
+    /// It had no effect: it was never sent to a backend server, or was refused there before it ran.
     NotRun,
-    /// It was handed over and nobody can say what became of it.
+    /// It was sent to a backend server and the result is unknown.
     MayHaveRun,
     /// It ran.
     Ran,
 }
 
 impl RunVerdict {
-    /// All verdicts, in order of certainty that it ran.
+    /// All verdicts, by increasing certainty that the request ran.
     pub const ALL: [RunVerdict; 3] = [Self::NotRun, Self::MayHaveRun, Self::Ran];
 
-    /// The verdict as callers read it.
+    /// Returns the verdict as sent to callers.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not-run",
@@ -30,7 +32,7 @@
         }
     }
 
-    /// Whether the same work may be sent again: it never ran, or running it twice does no harm.
+    /// Returns whether the request may be sent again: it did not run, or repeating it is harmless.
     pub fn allows_retry(self, repeatable: bool) -> bool {
         self == Self::NotRun || repeatable
     }
@@ -42,54 +44,54 @@
     }
 }
 
-/// Why a request ends without its answer, as its caller is told.
+/// Reason sent to the caller of a request that ends without its complete answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RefusalCode {
-    /// The request itself is wrong.
+    /// The request is malformed or invalid.
     InvalidRequest,
-    /// The body or the headers are larger than allowed.
+    /// The body or the headers exceed their size limit.
     TooLarge,
-    /// The headers alone are larger than allowed.
+    /// The headers alone exceed their size limit.
     HeadersTooLarge,
-    /// The caller's key names no tenant.
+    /// The caller's API key belongs to no tenant.
     UnknownCaller,
-    /// No model of that name is served.
+    /// No model with this name is served.
     UnknownModel,
-    /// No service or path of that name is routed.
+    /// No route exists for this service or path.
     UnknownRoute,
-    /// The path does not take this method.
+    /// The path does not allow this method.
     WrongMethod,
-    /// The caller took too long to send its request.
+    /// The caller took too long to send the request.
     SlowCaller,
-    /// The tenant is over its limit.
+    /// The tenant exceeds its limit.
     OverLimit,
-    /// The request would miss its target.
+    /// The host or its backend servers are overloaded, or the request would miss its latency target.
     Overloaded,
-    /// Backend servers end under it.
+    /// Backend servers crash when they run the request.
     EndsServers,
-    /// No backend server can take it.
+    /// No backend server can take the request.
     NoBackend,
-    /// The host has no configuration yet.
+    /// The host has not received a configuration yet.
     NotConfigured,
-    /// The host takes no new work.
+    /// The host is stopping and accepts no new requests.
     Stopping,
-    /// A call that may not be repeated needs a ticket as its key.
+    /// A call that is not repeatable requires a ticket as its key.
     TicketRequired,
-    /// The key was used with another request.
+    /// The key was already used for a different request.
     KeyConflict,
-    /// The record of this key is lost, or was never here.
+    /// The record of this key is lost or never existed on this host.
     OperationLost,
-    /// The backend server was lost, or its answer was.
+    /// The backend server failed or its answer was lost.
     BackendLost,
-    /// Time ran out.
+    /// The time limit of the request expired.
     DeadlinePassed,
-    /// The caller cancelled.
+    /// The caller disconnected or cancelled the request.
     Cancelled,
 }
 
 impl RefusalCode {
-    /// The code as callers read it.
+    /// Returns the code as sent to callers.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::InvalidRequest => "invalid-request",
@@ -115,7 +117,7 @@
         }
     }
 
-    /// HTTP status of this refusal.
+    /// Returns the HTTP status of this refusal.
     pub fn status(self) -> u16 {
         match self {
             Self::InvalidRequest => 400,
@@ -141,26 +143,26 @@
     }
 }
 
-/// The honest end of a request without its answer.
+/// The end of a request without its complete answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
-    /// Whether it may have run.
+    /// Whether the request may have run.
     pub verdict: RunVerdict,
-    /// Why, for programs.
+    /// Machine-readable reason.
     pub code: RefusalCode,
-    /// Why, for people.
+    /// Human-readable reason.
     pub message: String,
-    /// When asking again may help.
+    /// When a retry may succeed.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// A refusal of something that had no effect.
+    /// Creates a refusal of a request that had no effect.
     pub fn not_run(code: RefusalCode, message: impl Into<String>) -> Self {
         Self::new(RunVerdict::NotRun, code, message)
     }
 
-    /// A refusal with the given verdict.
+    /// Creates a refusal with the given verdict.
     pub fn new(verdict: RunVerdict, code: RefusalCode, message: impl Into<String>) -> Self {
         Self {
             verdict,
@@ -170,7 +172,7 @@
         }
     }
 
-    /// The same, telling the caller when to come back.
+    /// Sets the retry delay sent to the caller.
     pub fn after(mut self, wait: Duration) -> Self {
         self.retry_after = Some(wait);
         self
