--- a/tests/random_lives.rs
+++ b/tests/random_lives.rs
@@ -1,6 +1,6 @@
-//! Long randomised runs over the state machines, two faults and more at once, invariants asserted.
+//! Randomised tests that combine several faults in one run and check the invariants of the state machines.
 //!
-//! Seed and count are fixed in `.cargo/config.toml`; `BOLERO_RANDOM_ITERATIONS` makes a run longer.
+//! `.cargo/config.toml` fixes the seed and the number of iterations; set `BOLERO_RANDOM_ITERATIONS` for a longer run.
 
 use {
     bayplank::{
@@ -53,28 +53,29 @@
     }
 }
 
-/// A life, and what the engines and the caller know of it.
-struct RandomLife {
-    life: RequestLife,
-    named: u32,
+/// A request state machine, and what its actions showed to the engines and the caller.
+struct RandomRequest {
+    state: RequestLife,
+    attempt_count: u32,
     started: BTreeSet<FastStr>,
     cancelled: BTreeSet<FastStr>,
-    // Sent, and no engine or connection proved that it did not run.
+    // Attempts that were sent and not refused or found unreachable, so that they may have run.
     may_have_run: BTreeSet<FastStr>,
     emitted: u32,
     ends: Vec<LifeEnd>,
 }
 
-impl RandomLife {
-    fn event(&mut self, kind: u8, detail: u8) -> LifeEvent {
-        let have = self.emitted;
+impl RandomRequest {
+    fn random_event(&mut self, kind: u8, detail: u8) -> LifeEvent {
+        let emitted = self.emitted;
         let text = FastStr::from_static_str("x");
         match kind % 14 {
             0 | 1 => {
-                let (prefill, decode) = (self.name("p", detail), self.name("d", detail));
+                let (prefill, decode) =
+                    (self.new_attempt("p", detail), self.new_attempt("d", detail));
                 LifeEvent::Placed { prefill, decode }
             }
-            2 => LifeEvent::DecodePlaced(self.name("d", detail)),
+            2 => LifeEvent::DecodePlaced(self.new_attempt("d", detail)),
             3 => LifeEvent::PlaceRefused(Refusal::not_run(RefusalCode::Overloaded, "x")),
             4 | 5 => LifeEvent::PrefillDone(reply()),
             6 => LifeEvent::PrefillFailed(failure(detail)),
@@ -82,11 +83,11 @@
             8 => LifeEvent::ImportStalled,
             9 => LifeEvent::Item(StreamItem::Imported { load: None }),
             10 => LifeEvent::Item(StreamItem::Token {
-                position: (have + u32::from(detail % 3)).saturating_sub(1),
+                position: (emitted + u32::from(detail % 3)).saturating_sub(1),
                 text,
             }),
             11 => LifeEvent::Item(StreamItem::Finished {
-                tokens: have + u32::from(detail % 2),
+                tokens: emitted + u32::from(detail % 2),
                 reason: text,
                 load: None,
             }),
@@ -97,56 +98,65 @@
         }
     }
 
-    fn name(&mut self, role: &str, detail: u8) -> EngineAttempt {
-        self.named += 1;
+    fn new_attempt(&mut self, role: &str, detail: u8) -> EngineAttempt {
+        self.attempt_count += 1;
         EngineAttempt {
             engine: FastStr::from_string(format!("{role}{}", detail % 3)),
-            attempt: FastStr::from_string(format!("run.{}", self.named)),
+            attempt: FastStr::from_string(format!("run.{}", self.attempt_count)),
         }
     }
 
     fn step(&mut self, event: LifeEvent, now: Duration) {
-        let failed_not_run = matches!(
+        let is_not_run_failure = matches!(
             &event,
             LifeEvent::PrefillFailed(failure) | LifeEvent::DecodeFailed(failure)
                 if failure.verdict == RunVerdict::NotRun
         );
-        let before: BTreeSet<FastStr> = self.open();
-        let actions = self.life.step(event, now);
-        let after = self.open();
-        // What is not open any more was cancelled, ended, or refused by the engine.
-        let closed: Vec<FastStr> = before.difference(&after).cloned().collect();
+        let open_before: BTreeSet<FastStr> = self.open_attempts();
+        let actions = self.state.step(event, now);
+        let open_after = self.open_attempts();
+        // An attempt that is no longer open was cancelled, has ended, or was refused by the engine.
+        let closed: Vec<FastStr> = open_before.difference(&open_after).cloned().collect();
         for action in actions {
-            self.take(action);
+            self.record(action);
         }
         for attempt in closed {
             let is_cancelled = self.cancelled.contains(&attempt);
-            if failed_not_run && !is_cancelled {
+            if is_not_run_failure && !is_cancelled {
                 self.may_have_run.remove(&attempt);
-            } else if self.life.has_ended() {
+            } else if self.state.has_ended() {
                 let answered = matches!(self.ends.last(), Some(LifeEnd::Answered { .. }));
-                assert!(answered || is_cancelled, "{attempt} was left at an engine");
+                assert!(
+                    answered || is_cancelled,
+                    "attempt {attempt} was neither answered nor cancelled"
+                );
             }
         }
     }
 
-    fn open(&self) -> BTreeSet<FastStr> {
-        let open = self.life.open_attempts().iter();
+    fn open_attempts(&self) -> BTreeSet<FastStr> {
+        let open = self.state.open_attempts().iter();
         open.map(|open| open.attempt.clone()).collect()
     }
 
-    fn take(&mut self, action: LifeAction) {
+    fn record(&mut self, action: LifeAction) {
         match action {
             LifeAction::Prefill(target) | LifeAction::Decode { target, .. } => {
-                assert!(self.ends.is_empty(), "nothing starts after the end");
-                assert!(self.started.insert(target.attempt.clone()), "started once");
+                assert!(self.ends.is_empty(), "no attempt starts after the end");
+                assert!(
+                    self.started.insert(target.attempt.clone()),
+                    "each attempt starts once"
+                );
                 self.may_have_run.insert(target.attempt);
             }
             LifeAction::Cancel(target) => {
                 self.cancelled.insert(target.attempt);
             }
             LifeAction::Emit { position, .. } => {
-                assert_eq!(position, self.emitted, "in order, none twice, none missing");
+                assert_eq!(
+                    position, self.emitted,
+                    "tokens are emitted in order, without gaps or duplicates"
+                );
                 self.emitted += 1;
             }
             LifeAction::End(end) => self.ends.push(end),
@@ -156,13 +166,13 @@
 }
 
 #[test]
-fn a_life_keeps_its_promises_whatever_happens() {
+fn request_invariants_hold_for_any_event_sequence() {
     check!()
         .with_type::<Vec<(u8, u8, u8)>>()
         .for_each(|script| {
-            let mut random = RandomLife {
-                life: RequestLife::new(LifeLimits::default()),
-                named: 0,
+            let mut request = RandomRequest {
+                state: RequestLife::new(LifeLimits::default()),
+                attempt_count: 0,
                 started: BTreeSet::new(),
                 cancelled: BTreeSet::new(),
                 may_have_run: BTreeSet::new(),
@@ -172,32 +182,39 @@
             let mut now = Duration::ZERO;
             for (kind, detail, wait) in script {
                 now += Duration::from_millis(u64::from(*wait) * 10);
-                let event = random.event(*kind, *detail);
-                random.step(event, now);
+                let event = request.random_event(*kind, *detail);
+                request.step(event, now);
             }
-            assert!(random.ends.len() <= 1, "it ends once");
-            if let Some(LifeEnd::Answered { tokens, .. }) = random.ends.first() {
-                assert_eq!(*tokens, random.emitted, "the whole answer");
+            assert!(request.ends.len() <= 1, "a request ends at most once");
+            if let Some(LifeEnd::Answered { tokens, .. }) = request.ends.first() {
+                assert_eq!(*tokens, request.emitted, "the answer is complete");
             }
-            if let Some(LifeEnd::Refused(refusal)) = random.ends.first()
+            if let Some(LifeEnd::Refused(refusal)) = request.ends.first()
                 && refusal.verdict == RunVerdict::NotRun
             {
-                assert!(random.may_have_run.is_empty(), "not-run is true");
-                assert_eq!(random.emitted, 0, "not-run is true");
+                assert!(
+                    request.may_have_run.is_empty(),
+                    "a not-run verdict with attempts that may have run"
+                );
+                assert_eq!(
+                    request.emitted, 0,
+                    "a not-run verdict after tokens were emitted"
+                );
             }
         });
 }
 
-/// A store, hosts that contend for its lease, and writes and answers on their way.
-struct LeaseWorld {
+/// Simulates a store, hosts that compete for its lease, and their writes and responses in flight.
+struct LeaseSimulation {
     store: SeenLease,
-    old: SeenLease,
+    // The version before the last write, for stale reads.
+    previous: SeenLease,
     keepers: Vec<LeaseKeeper>,
     writes: Vec<(usize, LeaseWrite)>,
-    answers: Vec<(usize, LeaseWrite, Option<u64>)>,
+    responses: Vec<(usize, LeaseWrite, Option<u64>)>,
 }
 
-impl LeaseWorld {
+impl LeaseSimulation {
     fn new(hosts: usize) -> Self {
         let keepers = (0..hosts)
             .map(|host| {
@@ -207,31 +224,31 @@
             .collect();
         Self {
             store: SeenLease::default(),
-            old: SeenLease::default(),
+            previous: SeenLease::default(),
             keepers,
             writes: Vec::new(),
-            answers: Vec::new(),
+            responses: Vec::new(),
         }
     }
 
-    fn act(&mut self, kind: u8, host: usize, now: Duration) {
+    fn step(&mut self, kind: u8, host: usize, now: Duration) {
         match kind % 6 {
             0 | 1 => {
                 let seen = self.store.clone();
                 self.read(host, seen, now);
             }
             2 => {
-                let seen = self.old.clone();
+                let seen = self.previous.clone();
                 self.read(host, seen, now);
             }
             3 => {
                 if let Some((host, write)) = self.writes.pop() {
                     let version = self.apply(&write);
-                    self.answers.push((host, write, version));
+                    self.responses.push((host, write, version));
                 }
             }
             4 => {
-                if let Some((host, write, version)) = self.answers.pop() {
+                if let Some((host, write, version)) = self.responses.pop() {
                     match version {
                         Some(version) => {
                             self.keepers[host].written(&write, version, now);
@@ -240,15 +257,15 @@
                     }
                 }
             }
-            // An answer is lost.
-            _ => drop(self.answers.pop()),
+            // A response is lost.
+            _ => drop(self.responses.pop()),
         }
     }
 
-    // A host has one write on its way at a time.
+    // A host has at most one write in flight.
     fn read(&mut self, host: usize, seen: SeenLease, now: Duration) {
-        let is_busy = self.writes.iter().any(|(busy, _)| *busy == host)
-            || self.answers.iter().any(|(busy, _, _)| *busy == host);
+        let is_busy = self.writes.iter().any(|(writer, _)| *writer == host)
+            || self.responses.iter().any(|(writer, _, _)| *writer == host);
         if !is_busy && let Some(write) = self.keepers[host].read(seen, now) {
             self.writes.push((host, write));
         }
@@ -258,7 +275,7 @@
         if write.version != self.store.version {
             return None;
         }
-        self.old = self.store.clone();
+        self.previous = self.store.clone();
         self.store.version += 1;
         self.store.spec = write.spec.clone();
         Some(self.store.version)
@@ -266,24 +283,24 @@
 }
 
 #[test]
-fn of_all_hosts_one_may_order() {
+fn at_most_one_host_holds_the_lease() {
     check!()
         .with_type::<Vec<(u8, u8, u8)>>()
         .for_each(|script| {
-            let mut world = LeaseWorld::new(3);
+            let mut simulation = LeaseSimulation::new(3);
             let mut now = Duration::ZERO;
             let mut highest = 0;
             for (kind, host, wait) in script {
                 now += Duration::from_millis(u64::from(*wait) * 40);
-                world.act(*kind, usize::from(*host) % 3, now);
-                let held: Vec<u64> = world
+                simulation.step(*kind, usize::from(*host) % 3, now);
+                let held: Vec<u64> = simulation
                     .keepers
                     .iter()
                     .filter_map(|keeper| Some(keeper.held(now)?.token))
                     .collect();
-                assert!(held.len() <= 1, "{held:?}");
+                assert!(held.len() <= 1, "several hosts hold the lease: {held:?}");
                 if let Some(token) = held.first() {
-                    assert!(*token >= highest, "tokens only grow");
+                    assert!(*token >= highest, "fencing tokens never decrease");
                     highest = *token;
                 }
             }
@@ -291,7 +308,7 @@
 }
 
 #[test]
-fn a_configuration_never_reverts() {
+fn configuration_generation_never_decreases() {
     check!().with_type::<Vec<u8>>().for_each(|offers| {
         let mut keeper = ConfigKeeper::default();
         let mut highest = 0;
@@ -318,7 +335,7 @@
 }
 
 #[test]
-fn whoever_is_silent_is_suspected_and_hearsay_revives_nobody() {
+fn hosts_are_live_only_while_their_heartbeat_advances() {
     let limits = SilenceLimits {
         suspect: Duration::from_secs(5),
         sweep: Duration::from_secs(8),
@@ -327,7 +344,7 @@
         .with_type::<Vec<(u8, u8, u8)>>()
         .for_each(|script| {
             let mut members = Membership::new(card(0), limits);
-            let mut heard = [(0_u32, Duration::ZERO); 4];
+            let mut last_heartbeats = [(0_u32, Duration::ZERO); 4];
             let mut now = Duration::ZERO;
             for (host, heartbeat, wait) in script {
                 now += Duration::from_millis(u64::from(*wait) * 30);
@@ -347,13 +364,13 @@
                     crashes: Vec::new(),
                 };
                 members.take(&digest, now);
-                if beat.heartbeat > heard[host].0 {
-                    heard[host] = (beat.heartbeat, now);
+                if beat.heartbeat > last_heartbeats[host].0 {
+                    last_heartbeats[host] = (beat.heartbeat, now);
                 }
                 members.tick(now);
                 let live: BTreeSet<u64> =
                     members.live().map(|(card, _)| card.incarnation).collect();
-                for (index, (beat, at)) in heard.iter().enumerate() {
+                for (index, (beat, at)) in last_heartbeats.iter().enumerate() {
                     let expected = *beat > 0 && now - *at < limits.suspect;
                     assert_eq!(live.contains(&(index as u64 + 1)), expected);
                 }
@@ -362,11 +379,11 @@
 }
 
 #[test]
-fn every_cancel_is_sent_until_it_is_acknowledged() {
+fn cancels_are_repeated_until_acknowledged() {
     check!().with_type::<Vec<(u8, u8)>>().for_each(|script| {
         let mut ledger = CancelLedger::default();
         let mut open: BTreeSet<u8> = BTreeSet::new();
-        let mut sent: Vec<OpenCancel> = Vec::new();
+        let mut in_flight: Vec<OpenCancel> = Vec::new();
         let mut now = Duration::ZERO;
         for (kind, detail) in script {
             now += Duration::from_millis(u64::from(*detail));
@@ -377,13 +394,14 @@
                     ledger.add(OpenCancel { engine, attempt }, now);
                     open.insert(*detail);
                 }
-                1 => sent.extend(ledger.take_due(now)),
+                1 => in_flight.extend(ledger.take_due(now)),
                 _ => {
-                    if let Some(cancel) = sent.pop() {
+                    if let Some(cancel) = in_flight.pop() {
                         match detail % 2 {
                             0 => ledger.failed(&cancel, now),
                             _ => {
-                                let number: u8 = cancel.attempt.parse().expect("a number");
+                                let number: u8 =
+                                    cancel.attempt.parse().expect("attempt names are numbers");
                                 assert!(ledger.acknowledged(&cancel, now).is_some());
                                 open.remove(&number);
                             }
@@ -393,22 +411,25 @@
             }
             assert_eq!(ledger.len(), open.len());
         }
-        // Nothing is forgotten: what is open and not under way comes due.
+        // No cancel is lost: every unacknowledged cancel that is not in flight becomes due again.
         let later = now + Duration::from_secs(3);
-        sent.extend(ledger.take_due(later));
-        assert_eq!(sent.len(), open.len());
+        in_flight.extend(ledger.take_due(later));
+        assert_eq!(in_flight.len(), open.len());
     });
 }
 
 #[test]
-fn outside_text_is_read_or_refused() {
+fn arbitrary_text_is_parsed_or_rejected() {
     check!().with_type::<String>().for_each(|text| {
         if let Ok(position) = text.parse::<EventPosition>() {
             assert_eq!(&position.to_string(), text);
         }
         if let Ok(ticket) = text.parse::<OperationTicket>() {
-            let again: OperationTicket = ticket.to_string().parse().expect("its own text");
-            assert_eq!(again, ticket);
+            let reparsed: OperationTicket = ticket
+                .to_string()
+                .parse()
+                .expect("a displayed ticket parses");
+            assert_eq!(reparsed, ticket);
         }
         let _ = bayplank::conf::HostSettings::parse("random", text);
         let style = bayplank::filter::CompletionStyle::Text;
