--- a/src/bench/fleet.rs
+++ b/src/bench/fleet.rs
@@ -12,7 +12,7 @@
             self, AttemptNamer, CallFailure, Canceller, EngineLink, EngineRole, RefusalCause,
         },
         object::LabelMap,
-        operation::{LifeLimits, OnceSignal, RetryBudget, RunnerParts, SharedCrashes},
+        operation::{OnceSignal, RequestLimits, RetryBudget, RunnerParts, SharedCrashes},
         route::{EngineInfo, RoutePolicy, SharedDesk},
         standin::engine::{EngineCore, EngineParams},
     },
@@ -111,8 +111,8 @@
 }
 
 // A policy without a queue at the host does not wait for room: it gives up after a few refusals.
-fn life_limits(policy: RoutePolicy) -> LifeLimits {
-    let mut limits = LifeLimits::default();
+fn life_limits(policy: RoutePolicy) -> RequestLimits {
+    let mut limits = RequestLimits::default();
     if !policy.queues_here() {
         limits.refusals = REFUSALS_WITHOUT_QUEUE;
     }
--- a/src/bench/run.rs
+++ b/src/bench/run.rs
@@ -10,7 +10,7 @@
         engine::{self},
         object::LabelSelector,
         operation::{
-            AnswerLog, LifeEnd, ModelRequest, OnceSignal, ReplayLog, RequestStats, RunVerdict,
+            AnswerLog, ModelRequest, OnceSignal, ReplayLog, RequestEnd, RequestStats, RunVerdict,
             RunnerParts, run_request,
         },
         relay::RequestDigest,
@@ -173,7 +173,7 @@
     fn count(
         &mut self,
         request: &BenchRequest,
-        end: &LifeEnd,
+        end: &RequestEnd,
         stats: &RequestStats,
         tuning: &RouteTuning,
     ) {
@@ -181,7 +181,7 @@
             self.first.push(first.as_micros() as u64);
         }
         match end {
-            LifeEnd::Answered { .. } => {
+            RequestEnd::Answered { .. } => {
                 self.answered += 1;
                 self.gaps.push(stats.gap_p95().as_micros() as u64);
                 if stats.meets(tuning.first_token, tuning.between_tokens) {
@@ -189,11 +189,11 @@
                     self.good_at.push(request.at);
                 }
             }
-            LifeEnd::Refused(refusal) if refusal.verdict == RunVerdict::NotRun => {
+            RequestEnd::Refused(refusal) if refusal.verdict == RunVerdict::NotRun => {
                 self.not_run += 1;
             }
-            LifeEnd::Refused(_) if request.cancel_after.is_some() => {}
-            LifeEnd::Refused(_) => self.may_have_run += 1,
+            RequestEnd::Refused(_) if request.cancel_after.is_some() => {}
+            RequestEnd::Refused(_) => self.may_have_run += 1,
         }
     }
 }
--- a/src/filter/dispatch.rs
+++ b/src/filter/dispatch.rs
@@ -12,9 +12,9 @@
         engine, event,
         host::{GateEntry, Traffic},
         operation::{
-            AdoptedAttempt, AnswerItem, AnswerLog, EngineAttempt, EventPosition, LifeEnd,
-            ModelRequest, OnceSignal, OperationAnswer, PlainOutcome, Refusal, RefusalCode,
-            ReplayLog, ReplayReader, RunVerdict, run_request,
+            AdoptedAttempt, AnswerItem, AnswerLog, EngineAttempt, EventPosition, ModelRequest,
+            OnceSignal, OperationAnswer, PlainOutcome, Refusal, RefusalCode, ReplayLog,
+            ReplayReader, RequestEnd, RunVerdict, run_request,
         },
         relay::RequestDigest,
         web,
@@ -164,7 +164,7 @@
         let digest = request.digest;
         let (end, stats) = run_request(traffic.parts.clone(), request, log, cancel).await;
         // That it runs well elsewhere speaks for nothing where an engine broke off over its prompt.
-        if matches!(end, LifeEnd::Answered { .. }) && !stats.prefill_broke {
+        if matches!(end, RequestEnd::Answered { .. }) && !stats.prefill_broke {
             traffic.parts.crashes.note_good_run(digest);
         }
         let tuning = traffic.settings.tuning();
@@ -172,8 +172,8 @@
             .metrics
             .model_ended(&tenant, &class, &end, &stats, &tuning);
         let (outcome, verdict) = match &end {
-            LifeEnd::Answered { .. } => ("answered", RunVerdict::Ran),
-            LifeEnd::Refused(refusal) => (refusal.code.as_str(), refusal.verdict),
+            RequestEnd::Answered { .. } => ("answered", RunVerdict::Ran),
+            RequestEnd::Refused(refusal) => (refusal.code.as_str(), refusal.verdict),
         };
         event::emit(
             &event::REQUEST_ENDED,
@@ -209,11 +209,11 @@
     while let Some(item) = reader.next().await {
         match item {
             AnswerItem::Token { text: token, .. } => text.push_str(&token),
-            AnswerItem::End(LifeEnd::Answered { tokens, reason }) => {
+            AnswerItem::End(RequestEnd::Answered { tokens, reason }) => {
                 let body = answer.completion.whole(&answer.id, &text, &reason, tokens);
                 return Ok(web::json_reply(200, &body));
             }
-            AnswerItem::End(LifeEnd::Refused(refusal)) => return Err(refusal.into()),
+            AnswerItem::End(RequestEnd::Refused(refusal)) => return Err(refusal.into()),
         }
     }
     unreachable!("an answer's log ends with its end")
@@ -227,7 +227,7 @@
     let first = loop {
         match reader.next().await {
             Some(AnswerItem::Token { position, .. }) if position < answer.from => {}
-            Some(AnswerItem::End(LifeEnd::Refused(refusal))) => return Err(refusal.into()),
+            Some(AnswerItem::End(RequestEnd::Refused(refusal))) => return Err(refusal.into()),
             Some(item) => break item,
             None => unreachable!("an answer's log ends with its end"),
         }
@@ -274,11 +274,11 @@
             let (before, after) = &answer.frame;
             format!("id: {id}\ndata: {before}{text}{after}\n\n")
         }
-        AnswerItem::End(LifeEnd::Answered { reason, .. }) => {
+        AnswerItem::End(RequestEnd::Answered { reason, .. }) => {
             let data = completion.end_chunk(&answer.id, &reason);
             format!("data: {data}\n\ndata: [DONE]\n\n")
         }
-        AnswerItem::End(LifeEnd::Refused(refusal)) => {
+        AnswerItem::End(RequestEnd::Refused(refusal)) => {
             let data = completion::error_body(&refusal);
             format!("event: error\ndata: {data}\n\n")
         }
--- a/src/host/traffic.rs
+++ b/src/host/traffic.rs
@@ -10,7 +10,7 @@
         filter::TenantLedger,
         metric::HostMetrics,
         operation::{
-            LifeLimits, OperationTable, RetryBudget, RunnerParts, SharedCrashes, TicketBook,
+            OperationTable, RequestLimits, RetryBudget, RunnerParts, SharedCrashes, TicketBook,
         },
         peer,
         route::{ServerBook, ServerStates, SharedDesk},
@@ -99,7 +99,7 @@
             namer: AttemptNamer::new(incarnation.clone()),
             canceller,
             budget: Mutex::new(RetryBudget::new(settings.retry_share)),
-            limits: LifeLimits::default(),
+            limits: RequestLimits::default(),
             crashes: SharedCrashes::new(clock.clone()),
         });
         Arc::new(Self {
--- a/src/metric/metrics.rs
+++ b/src/metric/metrics.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        operation::{LifeEnd, RefusalCode, RequestStats, RunVerdict},
+        operation::{RefusalCode, RequestEnd, RequestStats, RunVerdict},
         route::RouteTuning,
     },
     faststr::FastStr,
@@ -198,7 +198,7 @@
         &self,
         tenant: &FastStr,
         class: &FastStr,
-        end: &LifeEnd,
+        end: &RequestEnd,
         stats: &RequestStats,
         tuning: &RouteTuning,
     ) {
@@ -216,13 +216,13 @@
         self.computed_tokens.inc_by(stats.computed_tokens);
         self.wasted_tokens.inc_by(stats.wasted_tokens);
         match end {
-            LifeEnd::Answered { .. } => {
+            RequestEnd::Answered { .. } => {
                 self.ended("answered", RunVerdict::Ran);
                 if stats.meets(tuning.first_token, tuning.between_tokens) {
                     self.goodput.get_or_create(&labels).inc();
                 }
             }
-            LifeEnd::Refused(refusal) => self.refused(refusal.code, refusal.verdict),
+            RequestEnd::Refused(refusal) => self.refused(refusal.code, refusal.verdict),
         }
     }
 
--- a/src/operation/awaited.rs
+++ b/src/operation/awaited.rs
@@ -1,7 +1,7 @@
 //! The pending engine or placement call of a running request.
 
 use {
-    super::step::LifeEvent,
+    super::step::RequestEvent,
     crate::{
         engine::{CallFailure, CallResult, ItemStream, PrefillReply},
         route::{DeskAnswer, PlaceStage},
@@ -40,14 +40,14 @@
 pub(super) async fn next_item(
     awaited: &mut Awaited,
     import_deadline: Option<Instant>,
-) -> LifeEvent {
+) -> RequestEvent {
     let Awaited::Items(items) = awaited else {
-        return LifeEvent::StreamBroken;
+        return RequestEvent::StreamBroken;
     };
     match until_deadline(import_deadline, items.next()).await {
-        Some(Some(Ok(item))) => LifeEvent::Item(item),
-        Some(Some(Err(_)) | None) => LifeEvent::StreamBroken,
-        None => LifeEvent::ImportStalled,
+        Some(Some(Ok(item))) => RequestEvent::Item(item),
+        Some(Some(Err(_)) | None) => RequestEvent::StreamBroken,
+        None => RequestEvent::ImportStalled,
     }
 }
 
--- a/src/operation/bookkeeping.rs
+++ b/src/operation/bookkeeping.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         runner::{self, RequestRunner},
-        step::LifeEvent,
+        step::RequestEvent,
     },
     crate::engine::{self, CallFailure, PrefillReply, RefusalCause, StreamItem},
     faststr::FastStr,
@@ -11,9 +11,9 @@
 
 impl RequestRunner {
     /// Updates statistics, reservations and engine state from an event.
-    pub(super) fn record_event(&mut self, event: &LifeEvent) {
+    pub(super) fn record_event(&mut self, event: &RequestEvent) {
         match event {
-            LifeEvent::PrefillDone(reply) => {
+            RequestEvent::PrefillDone(reply) => {
                 self.stats.computed_tokens += reply.computed_tokens;
                 // The result of an earlier prefill that was never imported is lost now.
                 self.stats.wasted_tokens += std::mem::take(&mut self.unimported_tokens);
@@ -21,7 +21,7 @@
                 self.kv_expires_at = self.parts.desk.now() + self.parts.limits.kv_life;
                 self.release_prefill(Some(reply));
             }
-            LifeEvent::PrefillFailed(failure) => {
+            RequestEvent::PrefillFailed(failure) => {
                 self.record_failure(
                     failure,
                     self.reserved_prefill.as_ref().map(|held| held.0.clone()),
@@ -34,7 +34,7 @@
                 }
                 self.release_prefill(None);
             }
-            LifeEvent::DecodeFailed(failure) => {
+            RequestEvent::DecodeFailed(failure) => {
                 self.record_failure(failure, self.reserved_decode.clone());
                 if failure.is_break()
                     && let Some(engine) = self.reserved_decode.clone()
@@ -42,13 +42,13 @@
                     self.queue_crash_check(engine);
                 }
             }
-            LifeEvent::Item(StreamItem::Imported { load }) => {
+            RequestEvent::Item(StreamItem::Imported { load }) => {
                 self.import_deadline = None;
                 self.unimported_tokens = 0;
                 self.record_load(load);
             }
-            LifeEvent::Item(StreamItem::Finished { load, .. }) => self.record_load(load),
-            LifeEvent::StreamBroken | LifeEvent::ImportStalled => {
+            RequestEvent::Item(StreamItem::Finished { load, .. }) => self.record_load(load),
+            RequestEvent::StreamBroken | RequestEvent::ImportStalled => {
                 if let Some(engine) = self.reserved_decode.clone() {
                     self.parts
                         .desk
--- a/src/operation/mod.rs
+++ b/src/operation/mod.rs
@@ -5,18 +5,18 @@
 mod bookkeeping;
 mod budget;
 mod crashes;
-mod life;
 mod position;
 mod replay;
 mod request;
 mod runner;
 mod signal;
+mod state_machine;
 mod step;
 mod table;
 mod ticket;
 mod verdict;
 
 pub use self::{
-    budget::*, crashes::*, life::*, position::*, replay::*, request::*, runner::*, signal::*,
-    step::*, table::*, ticket::*, verdict::*,
+    budget::*, crashes::*, position::*, replay::*, request::*, runner::*, signal::*,
+    state_machine::*, step::*, table::*, ticket::*, verdict::*,
 };
--- a/src/operation/request.rs
+++ b/src/operation/request.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         replay::ReplayLog,
-        step::{EngineAttempt, LifeEnd},
+        step::{EngineAttempt, RequestEnd},
     },
     crate::{object, relay::RequestDigest},
     faststr::FastStr,
@@ -63,7 +63,7 @@
         origin: Arc<EngineAttempt>,
     },
     /// The end of the answer.
-    End(LifeEnd),
+    End(RequestEnd),
 }
 
 /// The answer of a request so far, for any number of readers.
--- a/src/operation/runner.rs
+++ b/src/operation/runner.rs
@@ -5,10 +5,10 @@
         awaited::{self, Awaited},
         budget::RetryBudget,
         crashes::SharedCrashes,
-        life::RequestLife,
         request::{AnswerItem, AnswerLog, ModelRequest, RequestStats},
         signal::OnceSignal,
-        step::{EngineAttempt, LifeAction, LifeEnd, LifeEvent, LifeLimits},
+        state_machine::RequestStateMachine,
+        step::{EngineAttempt, RequestAction, RequestEnd, RequestEvent, RequestLimits},
         verdict::{Refusal, RefusalCode},
     },
     crate::{
@@ -41,7 +41,7 @@
     /// Limits retries.
     pub budget: Mutex<RetryBudget>,
     /// Limits of each request.
-    pub limits: LifeLimits,
+    pub limits: RequestLimits,
     /// Requests that crash their servers.
     pub crashes: SharedCrashes,
 }
@@ -52,11 +52,11 @@
     request: ModelRequest,
     log: Arc<AnswerLog>,
     cancel: Arc<OnceSignal>,
-) -> (LifeEnd, RequestStats) {
+) -> (RequestEnd, RequestStats) {
     let mut runner = RequestRunner::new(parts, request, log.clone());
     let grace = runner.request.grace;
     let deadline = runner.started + runner.request.time_limit;
-    let mut actions: VecDeque<LifeAction> = runner.state.start().into();
+    let mut actions: VecDeque<RequestAction> = runner.state.start().into();
     // Created once rather than for each token.
     let abandoned = std::pin::pin!(log.abandoned(grace));
     let cancelled = std::pin::pin!(cancel.wait());
@@ -83,11 +83,11 @@
     abandoned: impl Future<Output = ()>,
     cancelled: impl Future<Output = ()>,
     deadline: impl Future<Output = ()>,
-) -> LifeEvent {
+) -> RequestEvent {
     tokio::select! {
-        () = abandoned => LifeEvent::CallerGone,
-        () = cancelled => LifeEvent::CallerGone,
-        () = deadline => LifeEvent::DeadlinePassed,
+        () = abandoned => RequestEvent::CallerGone,
+        () = cancelled => RequestEvent::CallerGone,
+        () = deadline => RequestEvent::DeadlinePassed,
     }
 }
 
@@ -95,7 +95,7 @@
     pub(super) parts: Arc<RunnerParts>,
     pub(super) request: ModelRequest,
     pub(super) log: Arc<AnswerLog>,
-    pub(super) state: RequestLife,
+    pub(super) state: RequestStateMachine,
     pub(super) awaited: Awaited,
     pub(super) import_deadline: Option<Instant>,
     pub(super) excluded: Vec<FastStr>,
@@ -123,9 +123,9 @@
         let state = match &request.adopted {
             Some(adopted) => {
                 let target = adopted.target.clone();
-                RequestLife::adopt(parts.limits, target, adopted.caller_has)
+                RequestStateMachine::adopt(parts.limits, target, adopted.caller_has)
             }
-            None => RequestLife::new(parts.limits),
+            None => RequestStateMachine::new(parts.limits),
         };
         let (origin, reserved_decode) = match &request.adopted {
             Some(adopted) => {
@@ -157,38 +157,38 @@
     }
 
     // Performs all actions; returns the end of the request if it is among them.
-    fn perform_all(&mut self, actions: &mut VecDeque<LifeAction>) -> Option<LifeEnd> {
+    fn perform_all(&mut self, actions: &mut VecDeque<RequestAction>) -> Option<RequestEnd> {
         while let Some(action) = actions.pop_front() {
             match action {
-                LifeAction::Place { again } => self.place(again, actions),
-                LifeAction::PlaceDecode => {
+                RequestAction::Place { again } => self.place(again, actions),
+                RequestAction::PlaceDecode => {
                     self.release_decode();
                     self.request_placement(PlaceStage::DecodeOnly(self.kv_expires_at));
                 }
-                LifeAction::Prefill(target) => self.send_prefill(target),
-                LifeAction::Decode {
+                RequestAction::Prefill(target) => self.send_prefill(target),
+                RequestAction::Decode {
                     target,
                     source,
                     handle,
                 } => self.send_decode(target, &source, handle),
-                LifeAction::Resume { target, from } => self.send_resume(&target, from),
-                LifeAction::Exclude(engine) => self.excluded.push(engine),
-                LifeAction::Cancel(attempt) => self.parts.canceller.add(attempt),
-                LifeAction::Emit { position, text } => self.emit(position, text),
-                LifeAction::End(end) => return Some(end),
+                RequestAction::Resume { target, from } => self.send_resume(&target, from),
+                RequestAction::Exclude(engine) => self.excluded.push(engine),
+                RequestAction::Cancel(attempt) => self.parts.canceller.add(attempt),
+                RequestAction::Emit { position, text } => self.emit(position, text),
+                RequestAction::End(end) => return Some(end),
             }
         }
         None
     }
 
-    fn place(&mut self, again: bool, actions: &mut VecDeque<LifeAction>) {
+    fn place(&mut self, again: bool, actions: &mut VecDeque<RequestAction>) {
         self.release_decode();
         let now = self.parts.desk.now();
         if again && !self.parts.budget.lock().expect("budget").spend(now) {
             let text = "too much work is being done again";
             let refusal =
                 Refusal::not_run(RefusalCode::Overloaded, text).after(Duration::from_secs(1));
-            let event = LifeEvent::PlaceRefused(refusal);
+            let event = RequestEvent::PlaceRefused(refusal);
             actions.extend(self.handle_event(event));
             return;
         }
@@ -316,7 +316,7 @@
     }
 
     // Waits for the next event of the pending call or stream.
-    async fn next_event(&mut self) -> LifeEvent {
+    async fn next_event(&mut self) -> RequestEvent {
         match &mut self.awaited {
             Awaited::Nothing => std::future::pending().await,
             Awaited::Desk(answer, stage) => {
@@ -325,8 +325,8 @@
                 self.placement_event(answer, stage)
             }
             Awaited::Prefill(reply) => match reply.await {
-                Ok(reply) => LifeEvent::PrefillDone(reply),
-                Err(failure) => LifeEvent::PrefillFailed(failure),
+                Ok(reply) => RequestEvent::PrefillDone(reply),
+                Err(failure) => RequestEvent::PrefillFailed(failure),
             },
             Awaited::Opening(opening) => {
                 match awaited::until_deadline(self.import_deadline, opening).await {
@@ -334,17 +334,17 @@
                         self.awaited = Awaited::Items(items);
                         awaited::next_item(&mut self.awaited, self.import_deadline).await
                     }
-                    Some(Err(failure)) => LifeEvent::DecodeFailed(failure),
-                    None => LifeEvent::ImportStalled,
+                    Some(Err(failure)) => RequestEvent::DecodeFailed(failure),
+                    None => RequestEvent::ImportStalled,
                 }
             }
             Awaited::Items(_) => awaited::next_item(&mut self.awaited, self.import_deadline).await,
         }
     }
 
-    fn placement_event(&mut self, answer: DeskAnswer, stage: PlaceStage) -> LifeEvent {
+    fn placement_event(&mut self, answer: DeskAnswer, stage: PlaceStage) -> RequestEvent {
         match answer {
-            DeskAnswer::Refused(refusal) => LifeEvent::PlaceRefused(refusal),
+            DeskAnswer::Refused(refusal) => RequestEvent::PlaceRefused(refusal),
             DeskAnswer::Placed { prefill, decode } => {
                 self.reserved_decode = Some(decode.clone());
                 let decode = self.name_attempt(decode);
@@ -353,9 +353,9 @@
                         let tokens = self.prompt_tokens();
                         self.reserved_prefill = Some((prefill.clone(), tokens));
                         let prefill = self.name_attempt(prefill);
-                        LifeEvent::Placed { prefill, decode }
+                        RequestEvent::Placed { prefill, decode }
                     }
-                    _ => LifeEvent::DecodePlaced(decode),
+                    _ => RequestEvent::DecodePlaced(decode),
                 }
             }
         }
@@ -371,18 +371,18 @@
     }
 
     // Records an event and passes it to the state machine.
-    fn handle_event(&mut self, event: LifeEvent) -> Vec<LifeAction> {
+    fn handle_event(&mut self, event: RequestEvent) -> Vec<RequestAction> {
         self.record_event(&event);
         let now = self.parts.desk.now();
         let actions = self.state.step(event, now);
         let starts_call = actions.iter().any(|action| {
             matches!(
                 action,
-                LifeAction::Place { .. }
-                    | LifeAction::PlaceDecode
-                    | LifeAction::Prefill(_)
-                    | LifeAction::Decode { .. }
-                    | LifeAction::Resume { .. }
+                RequestAction::Place { .. }
+                    | RequestAction::PlaceDecode
+                    | RequestAction::Prefill(_)
+                    | RequestAction::Decode { .. }
+                    | RequestAction::Resume { .. }
             )
         });
         if starts_call {
--- a/src/operation/life.rs
+++ b/src/operation/state_machine.rs
@@ -5,7 +5,7 @@
 
 use {
     super::{
-        step::{EngineAttempt, LifeAction, LifeEnd, LifeEvent, LifeLimits},
+        step::{EngineAttempt, RequestAction, RequestEnd, RequestEvent, RequestLimits},
         verdict::{Refusal, RefusalCode, RunVerdict},
     },
     crate::engine::{CallFailure, PrefillReply, RefusalCause, StreamItem},
@@ -34,10 +34,10 @@
 
 /// The state of one model request.
 ///
-/// All times come from the clock whose reading is passed to [`RequestLife::step`].
+/// All times come from the clock whose reading is passed to [`RequestStateMachine::step`].
 #[derive(Debug)]
-pub struct RequestLife {
-    limits: LifeLimits,
+pub struct RequestStateMachine {
+    limits: RequestLimits,
     state: RequestState,
     planned_decode: Option<EngineAttempt>,
     delivered: Vec<FastStr>,
@@ -55,9 +55,9 @@
     caller_has: usize,
 }
 
-impl RequestLife {
+impl RequestStateMachine {
     /// Creates the state of a newly arrived request.
-    pub fn new(limits: LifeLimits) -> Self {
+    pub fn new(limits: RequestLimits) -> Self {
         Self {
             limits,
             state: RequestState::Placing,
@@ -78,7 +78,7 @@
     /// Takes over a request that another host started and whose caller reconnected here with `caller_has` tokens.
     ///
     /// The stream of `target` is read from position 0, so that this host has the complete answer.
-    pub fn adopt(limits: LifeLimits, target: EngineAttempt, caller_has: usize) -> Self {
+    pub fn adopt(limits: RequestLimits, target: EngineAttempt, caller_has: usize) -> Self {
         Self {
             state: RequestState::Decoding(target.clone()),
             open: vec![target],
@@ -89,13 +89,13 @@
     }
 
     /// Returns the initial actions.
-    pub fn start(&self) -> Vec<LifeAction> {
+    pub fn start(&self) -> Vec<RequestAction> {
         match &self.state {
-            RequestState::Decoding(target) => vec![LifeAction::Resume {
+            RequestState::Decoding(target) => vec![RequestAction::Resume {
                 target: target.clone(),
                 from: 0,
             }],
-            _ => vec![LifeAction::Place { again: false }],
+            _ => vec![RequestAction::Place { again: false }],
         }
     }
 
@@ -125,7 +125,7 @@
     }
 
     /// Processes an event and returns the resulting actions; events after the end are ignored.
-    pub fn step(&mut self, event: LifeEvent, now: Duration) -> Vec<LifeAction> {
+    pub fn step(&mut self, event: RequestEvent, now: Duration) -> Vec<RequestAction> {
         if self.has_ended() {
             return Vec::new();
         }
@@ -136,10 +136,10 @@
     }
 
     // Asserted after each step.
-    fn assert_invariants(&self, actions: &[LifeAction]) {
+    fn assert_invariants(&self, actions: &[RequestAction]) {
         let ends = actions
             .iter()
-            .filter(|action| matches!(action, LifeAction::End(_)))
+            .filter(|action| matches!(action, RequestAction::End(_)))
             .count();
         assert!(ends <= 1, "a step ends the request at most once");
         assert_eq!(
@@ -152,29 +152,29 @@
         }
     }
 
-    fn advance(&mut self, event: LifeEvent, now: Duration, actions: &mut Vec<LifeAction>) {
+    fn advance(&mut self, event: RequestEvent, now: Duration, actions: &mut Vec<RequestAction>) {
         match (self.state.clone(), event) {
-            (_, LifeEvent::CallerGone) => {
+            (_, RequestEvent::CallerGone) => {
                 let refusal =
                     Refusal::new(self.verdict, RefusalCode::Cancelled, "the caller is gone");
                 self.refuse(refusal, actions);
             }
-            (_, LifeEvent::DeadlinePassed) => {
+            (_, RequestEvent::DeadlinePassed) => {
                 let text = format!("time ran out; {}", self.last_failure);
                 let refusal = Refusal::new(self.verdict, RefusalCode::DeadlinePassed, text);
                 self.refuse(refusal, actions);
             }
-            (RequestState::Placing, LifeEvent::Placed { prefill, decode }) => {
+            (RequestState::Placing, RequestEvent::Placed { prefill, decode }) => {
                 self.start_prefill(prefill, decode, actions);
             }
-            (_, LifeEvent::PlaceRefused(refusal)) => self.refuse_placement(refusal, actions),
-            (RequestState::Prefilling(attempt), LifeEvent::PrefillDone(reply)) => {
+            (_, RequestEvent::PlaceRefused(refusal)) => self.refuse_placement(refusal, actions),
+            (RequestState::Prefilling(attempt), RequestEvent::PrefillDone(reply)) => {
                 self.start_import(attempt, reply, now, actions);
             }
-            (RequestState::Prefilling(attempt), LifeEvent::PrefillFailed(failure)) => {
+            (RequestState::Prefilling(attempt), RequestEvent::PrefillFailed(failure)) => {
                 self.handle_prefill_failure(attempt, failure, actions);
             }
-            (RequestState::PlacingDecode(held), LifeEvent::DecodePlaced(target)) => {
+            (RequestState::PlacingDecode(held), RequestEvent::DecodePlaced(target)) => {
                 self.send_decode(
                     HeldCache {
                         decode: target,
@@ -183,21 +183,26 @@
                     actions,
                 );
             }
-            (RequestState::Importing(held), LifeEvent::DecodeFailed(failure)) => {
+            (RequestState::Importing(held), RequestEvent::DecodeFailed(failure)) => {
                 self.handle_import_failure(held, Some(failure), now, actions);
             }
-            (RequestState::Importing(held), LifeEvent::ImportStalled | LifeEvent::StreamBroken) => {
+            (
+                RequestState::Importing(held),
+                RequestEvent::ImportStalled | RequestEvent::StreamBroken,
+            ) => {
                 self.handle_import_failure(held, None, now, actions);
             }
-            (RequestState::Importing(held), LifeEvent::Item(item)) => {
+            (RequestState::Importing(held), RequestEvent::Item(item)) => {
                 self.handle_import_item(held, item, now, actions);
             }
-            (RequestState::Decoding(attempt), LifeEvent::Item(item)) => {
+            (RequestState::Decoding(attempt), RequestEvent::Item(item)) => {
                 self.handle_decode_item(attempt, item, actions);
             }
             (
                 RequestState::Decoding(attempt),
-                LifeEvent::StreamBroken | LifeEvent::DecodeFailed(_) | LifeEvent::ImportStalled,
+                RequestEvent::StreamBroken
+                | RequestEvent::DecodeFailed(_)
+                | RequestEvent::ImportStalled,
             ) => self.handle_stream_failure(attempt, actions),
             // A late answer to an attempt that was already abandoned.
             _ => {}
@@ -208,7 +213,7 @@
         &mut self,
         prefill: EngineAttempt,
         decode: EngineAttempt,
-        actions: &mut Vec<LifeAction>,
+        actions: &mut Vec<RequestAction>,
     ) {
         self.prefills += 1;
         self.imports = 0;
@@ -218,7 +223,7 @@
         self.verdict_before_prefill = self.verdict;
         self.verdict = self.verdict.max(RunVerdict::MayHaveRun);
         self.state = RequestState::Prefilling(prefill.clone());
-        actions.push(LifeAction::Prefill(prefill));
+        actions.push(RequestAction::Prefill(prefill));
     }
 
     fn start_import(
@@ -226,7 +231,7 @@
         prefill: EngineAttempt,
         reply: PrefillReply,
         now: Duration,
-        actions: &mut Vec<LifeAction>,
+        actions: &mut Vec<RequestAction>,
     ) {
         self.verdict = RunVerdict::Ran;
         let decode = self
@@ -242,10 +247,10 @@
         self.send_decode(held, actions);
     }
 
-    fn send_decode(&mut self, held: HeldCache, actions: &mut Vec<LifeAction>) {
+    fn send_decode(&mut self, held: HeldCache, actions: &mut Vec<RequestAction>) {
         self.imports += 1;
         self.open.push(held.decode.clone());
-        actions.push(LifeAction::Decode {
+        actions.push(RequestAction::Decode {
             target: held.decode.clone(),
             source: held.prefill.engine.clone(),
             handle: held.handle.clone(),
@@ -257,7 +262,7 @@
         &mut self,
         attempt: EngineAttempt,
         failure: CallFailure,
-        actions: &mut Vec<LifeAction>,
+        actions: &mut Vec<RequestAction>,
     ) {
         self.last_failure = format!("prefill at {}: {failure}", attempt.engine);
         self.close_failed(&attempt, &failure, actions);
@@ -278,7 +283,7 @@
         held: HeldCache,
         failure: Option<CallFailure>,
         now: Duration,
-        actions: &mut Vec<LifeAction>,
+        actions: &mut Vec<RequestAction>,
     ) {
         let cause = failure.as_ref().and_then(CallFailure::cause);
         let detail = match &failure {
@@ -294,13 +299,13 @@
             Some(failure) => self.close_failed(&held.decode, failure, actions),
             None => {
                 self.cancel_attempt(&held.decode, actions);
-                actions.push(LifeAction::Exclude(held.decode.engine.clone()));
+                actions.push(RequestAction::Exclude(held.decode.engine.clone()));
             }
         }
         let is_cache_usable = now < held.expires_at && cause != Some(RefusalCause::Expired);
         if is_cache_usable && self.imports < self.limits.imports {
             self.state = RequestState::PlacingDecode(held);
-            actions.push(LifeAction::PlaceDecode);
+            actions.push(RequestAction::PlaceDecode);
         } else {
             self.cancel_attempt(&held.prefill, actions);
             self.place_again(true, actions);
@@ -312,7 +317,7 @@
         held: HeldCache,
         item: StreamItem,
         now: Duration,
-        actions: &mut Vec<LifeAction>,
+        actions: &mut Vec<RequestAction>,
     ) {
         match item {
             StreamItem::Imported { .. } => {
@@ -338,7 +343,7 @@
         &mut self,
         attempt: EngineAttempt,
         item: StreamItem,
-        actions: &mut Vec<LifeAction>,
+        actions: &mut Vec<RequestAction>,
     ) {
         let delivered_count = self.delivered.len() as u32;
         match item {
@@ -347,12 +352,12 @@
             StreamItem::Token { position, .. } if position < delivered_count => {}
             StreamItem::Token { position, text } if position == delivered_count => {
                 self.delivered.push(text.clone());
-                actions.push(LifeAction::Emit { position, text });
+                actions.push(RequestAction::Emit { position, text });
             }
             StreamItem::Token { .. } => self.handle_stream_failure(attempt, actions),
             StreamItem::Finished { tokens, reason, .. } if tokens == delivered_count => {
                 self.remove_open(&attempt);
-                self.end(LifeEnd::Answered { tokens, reason }, actions);
+                self.end(RequestEnd::Answered { tokens, reason }, actions);
             }
             StreamItem::Finished { .. } => self.handle_stream_failure(attempt, actions),
             StreamItem::Aborted { .. } => {
@@ -363,24 +368,24 @@
     }
 
     // Resumes the stream up to the limit, then regenerates the remaining tokens on other engines.
-    fn handle_stream_failure(&mut self, attempt: EngineAttempt, actions: &mut Vec<LifeAction>) {
+    fn handle_stream_failure(&mut self, attempt: EngineAttempt, actions: &mut Vec<RequestAction>) {
         self.last_failure = format!("the stream from {} broke", attempt.engine);
         if self.resumes < self.limits.resumes {
             self.resumes += 1;
             let from = self.delivered.len() as u32;
-            actions.push(LifeAction::Resume {
+            actions.push(RequestAction::Resume {
                 target: attempt,
                 from,
             });
             return;
         }
         self.cancel_attempt(&attempt, actions);
-        actions.push(LifeAction::Exclude(attempt.engine));
+        actions.push(RequestAction::Exclude(attempt.engine));
         self.place_again(true, actions);
     }
 
     // `is_retry` is false if the engine had no room: no work was done, so the retry budget is not charged.
-    fn place_again(&mut self, is_retry: bool, actions: &mut Vec<LifeAction>) {
+    fn place_again(&mut self, is_retry: bool, actions: &mut Vec<RequestAction>) {
         if self.delivered.len() < self.caller_has {
             // A regenerated answer may differ, so it must not be appended to the part that the caller has.
             let text = format!(
@@ -405,7 +410,7 @@
             return;
         }
         self.state = RequestState::Placing;
-        actions.push(LifeAction::Place { again: is_retry });
+        actions.push(RequestAction::Place { again: is_retry });
     }
 
     // An attempt that never ran needs no cancel; any other is cancelled until the engine acknowledges it.
@@ -413,7 +418,7 @@
         &mut self,
         attempt: &EngineAttempt,
         failure: &CallFailure,
-        actions: &mut Vec<LifeAction>,
+        actions: &mut Vec<RequestAction>,
     ) {
         match failure.verdict {
             RunVerdict::NotRun => self.remove_open(attempt),
@@ -421,7 +426,7 @@
         }
         // A full engine is not excluded: it may soon have room again, and the placement desk keeps track of that.
         if failure.cause() != Some(RefusalCause::Full) {
-            actions.push(LifeAction::Exclude(attempt.engine.clone()));
+            actions.push(RequestAction::Exclude(attempt.engine.clone()));
         }
     }
 
@@ -429,13 +434,13 @@
         self.open.retain(|open| open != attempt);
     }
 
-    fn cancel_attempt(&mut self, attempt: &EngineAttempt, actions: &mut Vec<LifeAction>) {
+    fn cancel_attempt(&mut self, attempt: &EngineAttempt, actions: &mut Vec<RequestAction>) {
         self.remove_open(attempt);
-        actions.push(LifeAction::Cancel(attempt.clone()));
+        actions.push(RequestAction::Cancel(attempt.clone()));
     }
 
     // Adds what is known from earlier attempts: whether they may have run, and the last failure.
-    fn refuse_placement(&mut self, refusal: Refusal, actions: &mut Vec<LifeAction>) {
+    fn refuse_placement(&mut self, refusal: Refusal, actions: &mut Vec<RequestAction>) {
         let verdict = refusal.verdict.max(self.verdict);
         let message = match self.last_failure.is_empty() {
             true => refusal.message.clone(),
@@ -449,15 +454,15 @@
         self.refuse(refusal, actions);
     }
 
-    fn refuse(&mut self, refusal: Refusal, actions: &mut Vec<LifeAction>) {
+    fn refuse(&mut self, refusal: Refusal, actions: &mut Vec<RequestAction>) {
         for open in std::mem::take(&mut self.open) {
-            actions.push(LifeAction::Cancel(open));
+            actions.push(RequestAction::Cancel(open));
         }
-        self.end(LifeEnd::Refused(refusal), actions);
+        self.end(RequestEnd::Refused(refusal), actions);
     }
 
-    fn end(&mut self, end: LifeEnd, actions: &mut Vec<LifeAction>) {
+    fn end(&mut self, end: RequestEnd, actions: &mut Vec<RequestAction>) {
         self.state = RequestState::Ended;
-        actions.push(LifeAction::End(end));
+        actions.push(RequestAction::End(end));
     }
 }
--- a/src/operation/step.rs
+++ b/src/operation/step.rs
@@ -9,7 +9,7 @@
 
 /// Limits on the work done for one request.
 #[derive(Debug, Clone, Copy)]
-pub struct LifeLimits {
+pub struct RequestLimits {
     /// Maximum number of prefills, without those that engines refused.
     pub prefills: u32,
     /// Maximum number of prefill orders that engines refused or that did not reach them.
@@ -22,7 +22,7 @@
     pub kv_life: Duration,
 }
 
-impl Default for LifeLimits {
+impl Default for RequestLimits {
     fn default() -> Self {
         Self {
             prefills: 4,
@@ -45,7 +45,7 @@
 
 /// Input to the request state machine.
 #[derive(Debug, Clone)]
-pub enum LifeEvent {
+pub enum RequestEvent {
     /// Engines were chosen and the attempts named.
     Placed {
         /// The prefill attempt.
@@ -77,7 +77,7 @@
 
 /// Output of the request state machine; at most one action of a step is answered by a later event.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum LifeAction {
+pub enum RequestAction {
     /// Choose engines; answered by `Placed` or `PlaceRefused`.
     Place {
         /// Whether this repeats work, so that the retry budget must allow it.
@@ -115,12 +115,12 @@
         text: FastStr,
     },
     /// The request ended.
-    End(LifeEnd),
+    End(RequestEnd),
 }
 
 /// How a request ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum LifeEnd {
+pub enum RequestEnd {
     /// The answer is complete.
     Answered {
         /// Number of tokens in the answer.
--- a/tests/matrix/requests.rs
+++ b/tests/matrix/requests.rs
@@ -11,8 +11,8 @@
             StreamItem,
         },
         operation::{
-            EngineAttempt, LifeAction, LifeEnd, LifeEvent, LifeLimits, Refusal, RefusalCode,
-            RequestLife,
+            EngineAttempt, Refusal, RefusalCode, RequestAction, RequestEnd, RequestEvent,
+            RequestLimits, RequestStateMachine,
         },
     },
     faststr::FastStr,
@@ -36,10 +36,10 @@
 }
 
 struct FakeEngines {
-    life: RequestLife,
+    life: RequestStateMachine,
     step: Step,
     fault: Option<Fault>,
-    events: VecDeque<LifeEvent>,
+    events: VecDeque<RequestEvent>,
     attempts: u32,
     cancels: usize,
     emitted: Vec<u32>,
@@ -51,7 +51,7 @@
 impl FakeEngines {
     fn new(step: Step, fault: Fault) -> Self {
         Self {
-            life: RequestLife::new(LifeLimits::default()),
+            life: RequestStateMachine::new(RequestLimits::default()),
             step,
             fault: Some(fault),
             events: VecDeque::new(),
@@ -65,10 +65,10 @@
     }
 
     fn run(mut self) -> String {
-        let mut actions: VecDeque<LifeAction> = self.life.start().into();
+        let mut actions: VecDeque<RequestAction> = self.life.start().into();
         loop {
             while let Some(action) = actions.pop_front() {
-                if let LifeAction::End(end) = action {
+                if let RequestAction::End(end) = action {
                     return self.describe(&end);
                 }
                 self.perform(action);
@@ -81,7 +81,7 @@
         }
     }
 
-    fn describe(&self, end: &LifeEnd) -> String {
+    fn describe(&self, end: &RequestEnd) -> String {
         assert!(self.life.open_attempts().is_empty());
         let in_order: Vec<u32> = (0..self.emitted.len() as u32).collect();
         assert_eq!(self.emitted, in_order, "no token twice, none missing");
@@ -91,12 +91,12 @@
             self.cancels
         );
         match end {
-            LifeEnd::Answered { tokens, .. } => {
+            RequestEnd::Answered { tokens, .. } => {
                 assert_eq!(*tokens, ANSWER_TOKENS);
                 assert_eq!(self.emitted.len() as u32, ANSWER_TOKENS, "the whole answer");
                 format!("answered; {cost}")
             }
-            LifeEnd::Refused(refusal) => {
+            RequestEnd::Refused(refusal) => {
                 let (code, verdict) = (refusal.code.as_str(), refusal.verdict);
                 format!("refused {code}, {verdict}; {cost}")
             }
@@ -119,16 +119,16 @@
         }
     }
 
-    fn perform(&mut self, action: LifeAction) {
+    fn perform(&mut self, action: RequestAction) {
         match action {
-            LifeAction::Place { again } => self.place(again),
-            LifeAction::PlaceDecode => self.place_decode(),
-            LifeAction::Prefill(_) => self.prefill(),
-            LifeAction::Decode { .. } => self.decode(),
-            LifeAction::Resume { from, .. } => self.resume(from),
-            LifeAction::Cancel(_) => self.cancels += 1,
-            LifeAction::Emit { position, .. } => self.emitted.push(position),
-            LifeAction::Exclude(_) | LifeAction::End(_) => {}
+            RequestAction::Place { again } => self.place(again),
+            RequestAction::PlaceDecode => self.place_decode(),
+            RequestAction::Prefill(_) => self.prefill(),
+            RequestAction::Decode { .. } => self.decode(),
+            RequestAction::Resume { from, .. } => self.resume(from),
+            RequestAction::Cancel(_) => self.cancels += 1,
+            RequestAction::Emit { position, .. } => self.emitted.push(position),
+            RequestAction::Exclude(_) | RequestAction::End(_) => {}
         }
     }
 
@@ -139,7 +139,7 @@
         }
         if self.ends_servers {
             let refusal = Refusal::not_run(RefusalCode::EndsServers, "three ended");
-            self.events.push_back(LifeEvent::PlaceRefused(refusal));
+            self.events.push_back(RequestEvent::PlaceRefused(refusal));
             return;
         }
         self.engine_is_dead = false;
@@ -149,24 +149,25 @@
             None => {}
         }
         let (prefill, decode) = (self.attempt("prefill"), self.attempt("decode"));
-        self.events.push_back(LifeEvent::Placed { prefill, decode });
+        self.events
+            .push_back(RequestEvent::Placed { prefill, decode });
     }
 
     fn place_decode(&mut self) {
         let decode = self.attempt("other-decode");
-        self.events.push_back(LifeEvent::DecodePlaced(decode));
+        self.events.push_back(RequestEvent::DecodePlaced(decode));
     }
 
     fn refuse_place(&mut self) {
         let refusal = Refusal::not_run(RefusalCode::Overloaded, "none is free");
-        self.events.push_back(LifeEvent::PlaceRefused(refusal));
+        self.events.push_back(RequestEvent::PlaceRefused(refusal));
     }
 
     // Faults that come from outside, whatever is waited for.
     fn interrupt(&mut self, fault: Fault) {
         match fault {
-            Fault::CallerGone => self.events.push_back(LifeEvent::CallerGone),
-            Fault::Deadline => self.events.push_back(LifeEvent::DeadlinePassed),
+            Fault::CallerGone => self.events.push_back(RequestEvent::CallerGone),
+            Fault::Deadline => self.events.push_back(RequestEvent::DeadlinePassed),
             Fault::OldAnswer => self.old_answers(),
             other => panic!("{other:?} does not come from outside"),
         }
@@ -175,13 +176,13 @@
     // Answers that belong to no state this life is in.
     fn old_answers(&mut self) {
         match self.step {
-            Step::Placing => self.events.push_back(LifeEvent::PrefillDone(reply())),
-            Step::Prefilling => self.events.push_back(LifeEvent::StreamBroken),
-            Step::Importing => self.events.push_back(LifeEvent::PrefillDone(reply())),
+            Step::Placing => self.events.push_back(RequestEvent::PrefillDone(reply())),
+            Step::Prefilling => self.events.push_back(RequestEvent::StreamBroken),
+            Step::Importing => self.events.push_back(RequestEvent::PrefillDone(reply())),
             Step::Imported => self
                 .events
-                .push_back(LifeEvent::PrefillFailed(unanswered())),
-            Step::Decoding => self.events.push_back(LifeEvent::PrefillDone(reply())),
+                .push_back(RequestEvent::PrefillFailed(unanswered())),
+            Step::Decoding => self.events.push_back(RequestEvent::PrefillDone(reply())),
         }
     }
 
@@ -205,8 +206,8 @@
             None => None,
         };
         self.events.push_back(match failure {
-            Some(failure) => LifeEvent::PrefillFailed(failure),
-            None => LifeEvent::PrefillDone(reply()),
+            Some(failure) => RequestEvent::PrefillFailed(failure),
+            None => RequestEvent::PrefillDone(reply()),
         });
     }
 
@@ -214,16 +215,18 @@
         let event = match self.fault_at(Step::Importing) {
             Some(Fault::NoEngine) => {
                 self.events
-                    .push_back(LifeEvent::DecodeFailed(refused(RefusalCause::Full)));
+                    .push_back(RequestEvent::DecodeFailed(refused(RefusalCause::Full)));
                 return self.refuse_place();
             }
-            Some(Fault::Full) => LifeEvent::DecodeFailed(refused(RefusalCause::Full)),
-            Some(Fault::Unreachable) => LifeEvent::DecodeFailed(CallFailure::unreachable("dead")),
-            Some(Fault::Unanswered) => LifeEvent::DecodeFailed(unanswered()),
-            Some(Fault::Stalled) => LifeEvent::ImportStalled,
-            Some(Fault::Expired) => LifeEvent::DecodeFailed(refused(RefusalCause::Expired)),
-            Some(Fault::EngineDead) => LifeEvent::StreamBroken,
-            Some(Fault::Aborted) => LifeEvent::Item(aborted()),
+            Some(Fault::Full) => RequestEvent::DecodeFailed(refused(RefusalCause::Full)),
+            Some(Fault::Unreachable) => {
+                RequestEvent::DecodeFailed(CallFailure::unreachable("dead"))
+            }
+            Some(Fault::Unanswered) => RequestEvent::DecodeFailed(unanswered()),
+            Some(Fault::Stalled) => RequestEvent::ImportStalled,
+            Some(Fault::Expired) => RequestEvent::DecodeFailed(refused(RefusalCause::Expired)),
+            Some(Fault::EngineDead) => RequestEvent::StreamBroken,
+            Some(Fault::Aborted) => RequestEvent::Item(aborted()),
             Some(fault) => {
                 self.interrupt(fault);
                 return self.stream(0, true);
@@ -235,7 +238,7 @@
 
     fn resume(&mut self, from: u32) {
         match self.engine_is_dead {
-            true => self.events.push_back(LifeEvent::StreamBroken),
+            true => self.events.push_back(RequestEvent::StreamBroken),
             false => self.stream(from, false),
         }
     }
@@ -262,12 +265,12 @@
 
     fn break_stream(&mut self, fault: Fault, position: u32) {
         match fault {
-            Fault::BrokenOnce => self.events.push_back(LifeEvent::StreamBroken),
+            Fault::BrokenOnce => self.events.push_back(RequestEvent::StreamBroken),
             Fault::EngineDead | Fault::NoBudget | Fault::EndsServers => {
                 self.engine_is_dead = true;
                 self.ends_servers = fault == Fault::EndsServers;
                 self.budget_is_spent = fault == Fault::NoBudget;
-                self.events.push_back(LifeEvent::StreamBroken);
+                self.events.push_back(RequestEvent::StreamBroken);
             }
             Fault::Aborted => self.item(aborted()),
             Fault::TokenAgain => {
@@ -291,7 +294,7 @@
     }
 
     fn item(&mut self, item: StreamItem) {
-        self.events.push_back(LifeEvent::Item(item));
+        self.events.push_back(RequestEvent::Item(item));
     }
 }
 
--- a/tests/random_lives.rs
+++ b/tests/random_lives.rs
@@ -10,8 +10,8 @@
             PrefillReply, RefusalCause, StreamItem,
         },
         operation::{
-            EngineAttempt, EventPosition, LifeAction, LifeEnd, LifeEvent, LifeLimits,
-            OperationTicket, Refusal, RefusalCode, RequestLife, RunVerdict,
+            EngineAttempt, EventPosition, OperationTicket, Refusal, RefusalCode, RequestAction,
+            RequestEnd, RequestEvent, RequestLimits, RequestStateMachine, RunVerdict,
         },
         peer::{BeatFlags, HostBeat, HostCard, Membership, PeerDigest, SilenceLimits},
     },
@@ -55,46 +55,46 @@
 
 /// A request state machine, and what its actions showed to the engines and the caller.
 struct RandomRequest {
-    state: RequestLife,
+    state: RequestStateMachine,
     attempt_count: u32,
     started: BTreeSet<FastStr>,
     cancelled: BTreeSet<FastStr>,
     // Attempts that were sent and not refused or found unreachable, so that they may have run.
     may_have_run: BTreeSet<FastStr>,
     emitted: u32,
-    ends: Vec<LifeEnd>,
+    ends: Vec<RequestEnd>,
 }
 
 impl RandomRequest {
-    fn random_event(&mut self, kind: u8, detail: u8) -> LifeEvent {
+    fn random_event(&mut self, kind: u8, detail: u8) -> RequestEvent {
         let emitted = self.emitted;
         let text = FastStr::from_static_str("x");
         match kind % 14 {
             0 | 1 => {
                 let (prefill, decode) =
                     (self.new_attempt("p", detail), self.new_attempt("d", detail));
-                LifeEvent::Placed { prefill, decode }
+                RequestEvent::Placed { prefill, decode }
             }
-            2 => LifeEvent::DecodePlaced(self.new_attempt("d", detail)),
-            3 => LifeEvent::PlaceRefused(Refusal::not_run(RefusalCode::Overloaded, "x")),
-            4 | 5 => LifeEvent::PrefillDone(reply()),
-            6 => LifeEvent::PrefillFailed(failure(detail)),
-            7 => LifeEvent::DecodeFailed(failure(detail)),
-            8 => LifeEvent::ImportStalled,
-            9 => LifeEvent::Item(StreamItem::Imported { load: None }),
-            10 => LifeEvent::Item(StreamItem::Token {
+            2 => RequestEvent::DecodePlaced(self.new_attempt("d", detail)),
+            3 => RequestEvent::PlaceRefused(Refusal::not_run(RefusalCode::Overloaded, "x")),
+            4 | 5 => RequestEvent::PrefillDone(reply()),
+            6 => RequestEvent::PrefillFailed(failure(detail)),
+            7 => RequestEvent::DecodeFailed(failure(detail)),
+            8 => RequestEvent::ImportStalled,
+            9 => RequestEvent::Item(StreamItem::Imported { load: None }),
+            10 => RequestEvent::Item(StreamItem::Token {
                 position: (emitted + u32::from(detail % 3)).saturating_sub(1),
                 text,
             }),
-            11 => LifeEvent::Item(StreamItem::Finished {
+            11 => RequestEvent::Item(StreamItem::Finished {
                 tokens: emitted + u32::from(detail % 2),
                 reason: text,
                 load: None,
             }),
-            12 => LifeEvent::StreamBroken,
-            _ if detail.is_multiple_of(4) => LifeEvent::CallerGone,
-            _ if detail % 4 == 1 => LifeEvent::DeadlinePassed,
-            _ => LifeEvent::Item(StreamItem::Aborted { reason: text }),
+            12 => RequestEvent::StreamBroken,
+            _ if detail.is_multiple_of(4) => RequestEvent::CallerGone,
+            _ if detail % 4 == 1 => RequestEvent::DeadlinePassed,
+            _ => RequestEvent::Item(StreamItem::Aborted { reason: text }),
         }
     }
 
@@ -106,10 +106,10 @@
         }
     }
 
-    fn step(&mut self, event: LifeEvent, now: Duration) {
+    fn step(&mut self, event: RequestEvent, now: Duration) {
         let is_not_run_failure = matches!(
             &event,
-            LifeEvent::PrefillFailed(failure) | LifeEvent::DecodeFailed(failure)
+            RequestEvent::PrefillFailed(failure) | RequestEvent::DecodeFailed(failure)
                 if failure.verdict == RunVerdict::NotRun
         );
         let open_before: BTreeSet<FastStr> = self.open_attempts();
@@ -125,7 +125,7 @@
             if is_not_run_failure && !is_cancelled {
                 self.may_have_run.remove(&attempt);
             } else if self.state.has_ended() {
-                let answered = matches!(self.ends.last(), Some(LifeEnd::Answered { .. }));
+                let answered = matches!(self.ends.last(), Some(RequestEnd::Answered { .. }));
                 assert!(
                     answered || is_cancelled,
                     "attempt {attempt} was neither answered nor cancelled"
@@ -139,9 +139,9 @@
         open.map(|open| open.attempt.clone()).collect()
     }
 
-    fn record(&mut self, action: LifeAction) {
+    fn record(&mut self, action: RequestAction) {
         match action {
-            LifeAction::Prefill(target) | LifeAction::Decode { target, .. } => {
+            RequestAction::Prefill(target) | RequestAction::Decode { target, .. } => {
                 assert!(self.ends.is_empty(), "no attempt starts after the end");
                 assert!(
                     self.started.insert(target.attempt.clone()),
@@ -149,17 +149,17 @@
                 );
                 self.may_have_run.insert(target.attempt);
             }
-            LifeAction::Cancel(target) => {
+            RequestAction::Cancel(target) => {
                 self.cancelled.insert(target.attempt);
             }
-            LifeAction::Emit { position, .. } => {
+            RequestAction::Emit { position, .. } => {
                 assert_eq!(
                     position, self.emitted,
                     "tokens are emitted in order, without gaps or duplicates"
                 );
                 self.emitted += 1;
             }
-            LifeAction::End(end) => self.ends.push(end),
+            RequestAction::End(end) => self.ends.push(end),
             _ => {}
         }
     }
@@ -171,7 +171,7 @@
         .with_type::<Vec<(u8, u8, u8)>>()
         .for_each(|script| {
             let mut request = RandomRequest {
-                state: RequestLife::new(LifeLimits::default()),
+                state: RequestStateMachine::new(RequestLimits::default()),
                 attempt_count: 0,
                 started: BTreeSet::new(),
                 cancelled: BTreeSet::new(),
@@ -186,10 +186,10 @@
                 request.step(event, now);
             }
             assert!(request.ends.len() <= 1, "a request ends at most once");
-            if let Some(LifeEnd::Answered { tokens, .. }) = request.ends.first() {
+            if let Some(RequestEnd::Answered { tokens, .. }) = request.ends.first() {
                 assert_eq!(*tokens, request.emitted, "the answer is complete");
             }
-            if let Some(LifeEnd::Refused(refusal)) = request.ends.first()
+            if let Some(RequestEnd::Refused(refusal)) = request.ends.first()
                 && refusal.verdict == RunVerdict::NotRun
             {
                 assert!(
