--- a/src/filter/plain.rs
+++ b/src/filter/plain.rs
@@ -111,7 +111,7 @@
             Ok(Err(failure)) => {
                 if matches!(failure, WebFailure::Unanswered(_)) {
                     let (name, address) = (choice.name(), choice.address());
-                    crashes.learn_end(digest, &name, address).await;
+                    crashes.probe_for_crash(digest, &name, address).await;
                 }
                 failure
             }
--- a/src/operation/crashes.rs
+++ b/src/operation/crashes.rs
@@ -72,7 +72,7 @@
     /// Probes a server whose connection broke during a request, and records a crash if it refuses connections.
     ///
     /// A restarted server counts as the same server, because the platform does not distinguish runs of the same name.
-    pub async fn learn_end(&self, digest: RequestDigest, server: &str, address: SocketAddr) {
+    pub async fn probe_for_crash(&self, digest: RequestDigest, server: &str, address: SocketAddr) {
         let probe = web::within(PROBE_TIME_LIMIT, web::probe_patiently(address));
         if probe.await != Ok(ProbeOutcome::Refused) {
             return;
--- a/src/operation/runner.rs
+++ b/src/operation/runner.rs
@@ -399,7 +399,10 @@
     unchecked: Vec<(FastStr, SocketAddr)>,
 ) {
     for (engine, address) in unchecked {
-        parts.crashes.learn_end(digest, &engine, address).await;
+        parts
+            .crashes
+            .probe_for_crash(digest, &engine, address)
+            .await;
     }
 }
 
--- a/tests/fatal_requests.rs
+++ b/tests/fatal_requests.rs
@@ -75,7 +75,7 @@
                 tokio::time::sleep(Duration::from_millis(40)).await;
                 drop(listener);
             });
-            crashes.learn_end(digest, server, address).await;
+            crashes.probe_for_crash(digest, server, address).await;
         }
     });
     assert!(crashes.check(digest, RunVerdict::MayHaveRun).is_err());
