--- a/src/filter/dispatch.rs
+++ b/src/filter/dispatch.rs
@@ -117,7 +117,7 @@
             engine: event.engine,
             attempt: event.attempt,
         },
-        caller_has: event.position as usize + 1,
+        caller_token_count: event.position as usize + 1,
     })
 }
 
--- a/src/operation/request.rs
+++ b/src/operation/request.rs
@@ -47,7 +47,7 @@
     /// The attempt.
     pub target: EngineAttempt,
     /// Number of tokens that the caller already has.
-    pub caller_has: usize,
+    pub caller_token_count: usize,
 }
 
 /// One item of the answer sent to a caller.
--- a/src/operation/runner.rs
+++ b/src/operation/runner.rs
@@ -123,7 +123,7 @@
         let state = match &request.adopted {
             Some(adopted) => {
                 let target = adopted.target.clone();
-                RequestStateMachine::adopt(parts.limits, target, adopted.caller_has)
+                RequestStateMachine::adopt(parts.limits, target, adopted.caller_token_count)
             }
             None => RequestStateMachine::new(parts.limits),
         };
--- a/src/operation/state_machine.rs
+++ b/src/operation/state_machine.rs
@@ -52,7 +52,7 @@
     // Restored if the prefill engine refuses the order.
     verdict_before_prefill: RunVerdict,
     // Number of tokens that the caller received through another host.
-    caller_has: usize,
+    caller_token_count: usize,
 }
 
 impl RequestStateMachine {
@@ -71,19 +71,20 @@
             last_failure: String::new(),
             verdict: RunVerdict::NotRun,
             verdict_before_prefill: RunVerdict::NotRun,
-            caller_has: 0,
+            caller_token_count: 0,
         }
     }
 
-    /// Takes over a request that another host started and whose caller reconnected here with `caller_has` tokens.
+    /// Takes over a request that another host started and whose caller reconnected here with `caller_token_count`
+    /// tokens.
     ///
     /// The stream of `target` is read from position 0, so that this host has the complete answer.
-    pub fn adopt(limits: RequestLimits, target: EngineAttempt, caller_has: usize) -> Self {
+    pub fn adopt(limits: RequestLimits, target: EngineAttempt, caller_token_count: usize) -> Self {
         Self {
             state: RequestState::Decoding(target.clone()),
             open: vec![target],
             verdict: RunVerdict::Ran,
-            caller_has,
+            caller_token_count,
             ..Self::new(limits)
         }
     }
@@ -386,7 +387,7 @@
 
     // `is_retry` is false if the engine had no room: no work was done, so the retry budget is not charged.
     fn place_again(&mut self, is_retry: bool, actions: &mut Vec<RequestAction>) {
-        if self.delivered.len() < self.caller_has {
+        if self.delivered.len() < self.caller_token_count {
             // A regenerated answer may differ, so it must not be appended to the part that the caller has.
             let text = format!(
                 "what the caller has is not known any more; {}",
