--- a/src/operation/mod.rs
+++ b/src/operation/mod.rs
@@ -1,21 +1,22 @@
-//! Requests as operations: verdicts, keys, the life of a request, cleanup.
+//! Model requests and keyed operations: the request state machine and its runner, run verdicts, operation keys and
+//! tickets, retry budget, and cleanup at engines.
 
-mod account;
 mod awaited;
+mod bookkeeping;
 mod budget;
 mod crashes;
-mod life;
 mod position;
 mod replay;
 mod request;
 mod runner;
 mod signal;
+mod state_machine;
 mod step;
 mod table;
 mod ticket;
 mod verdict;
 
 pub use self::{
-    budget::*, crashes::*, life::*, position::*, replay::*, request::*, runner::*, signal::*,
-    step::*, table::*, ticket::*, verdict::*,
+    budget::*, crashes::*, position::*, replay::*, request::*, runner::*, signal::*,
+    state_machine::*, step::*, table::*, ticket::*, verdict::*,
 };
