--- a/src/account/account_book.rs
+++ b/src/account/account_book.rs
@@ -1,4 +1,4 @@
-//! The books of one account: what it used, as far as its zone's ledger knows.
+//! Usage of one account as its zone's ledger knows it.
 
 use {
     super::bucket::RateBucket,
@@ -6,24 +6,26 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Part of its share of a limit that a side of a cut uses: the sides know the demand of each other a little differently.
+/// Fraction of its share of a limit that one side of a partition uses, since the sides know each other's
+/// demand only approximately.
 const CUT_PART: f64 = 0.88;
 
-/// Time over which demand is averaged, seconds: long against the pause between two requests of a small account, short
-/// against the window in which operators count.
+/// Averaging time of the demand, in seconds: long compared with the gap between two requests of a small
+/// account, short compared with the window in which operators measure.
 const DEMAND_SECONDS: f64 = 3.0;
 
-/// Time over which the demand is averaged that zones share limits by in a cut, seconds: with three, a single large
-/// request moves the share of a small account by a quarter.
+/// Averaging time, in seconds, of the demand by which zones share limits during a partition. With 3 s, a
+/// single large request changes the share of a small account by a quarter.
 const SHARE_SECONDS: f64 = 20.0;
 
-/// Demand of a zone that asks for nothing, as part of the rate: its first requests find some room.
+/// Demand assumed for an idle zone, as a fraction of the rate, so that its first requests are admitted.
 const IDLE_DEMAND: f64 = 0.02;
 
-/// Units a second, averaged over some seconds.
+/// Demand in units per second, as exponentially weighted averages.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct DemandRate {
-    // Over the last seconds, and over many: a surge shows in the one, shares of zones are steady in the other.
+    // Short-term and long-term averages: the short one shows a surge, the long one keeps the shares of zones
+    // steady.
     quick: f64,
     slow: f64,
     at: Duration,
@@ -50,36 +52,36 @@
     }
 }
 
-/// What is known of an account in another zone.
+/// Usage of an account in another zone.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct AwayUse {
     pub(super) demand: DemandRate,
-    // The same as of when all zones were last heard, units a second.
+    // Demand when all zones were last reachable, in units per second.
     pub(super) known_demand: f64,
-    // Units that it was taken to use while it was not heard of.
+    // Units assumed to be used while the zone was unreachable.
     pub(super) assumed: f64,
 }
 
-/// A zone that is not heard of.
+/// Unreachable zone.
 #[derive(Debug)]
 pub(super) struct UnheardZone {
     pub(super) name: FastStr,
-    // Its part of the limit, units a second.
+    // Its share of the limit, in units per second.
     pub(super) rate: f64,
-    // How long it has been taken to use that.
+    // How long this usage has been assumed.
     pub(super) time: Duration,
 }
 
-/// What unheard zones are taken to use of an account's limit.
+/// Assumed usage of an account's limit by unreachable zones.
 #[derive(Debug, Default)]
 pub(super) struct ReservedRate {
-    // Share of the limit for all of them, 0 to 1.
+    // Share of the limit for all unreachable zones, 0 to 1.
     pub(super) share: f64,
     pub(super) zones: Vec<UnheardZone>,
 }
 
 impl ReservedRate {
-    // What is left for this side, 0 to 1.
+    // Share of the limit left for this side, 0 to 1.
     pub(super) fn own_share(&self) -> f64 {
         match self.zones.is_empty() {
             true => 1.0,
@@ -88,29 +90,29 @@
     }
 }
 
-/// The books of an account.
+/// Usage of an account.
 #[derive(Debug, Clone, Default)]
 pub(super) struct AccountBook {
     pub(super) bucket: RateBucket,
-    // The last time of any use.
+    // Time of the last use.
     pub(super) used: Duration,
-    // Time up to which what unheard zones use was assumed.
+    // Time up to which the usage of unreachable zones is accounted for.
     pub(super) settled: Duration,
-    // Sums of the own zone since the ledger began.
+    // Totals of the own zone since the ledger started.
     pub(super) asked: u32,
     pub(super) taken: u32,
-    // What of them was told to the other ledgers last, and from how much more on it is told again.
+    // Totals at the last broadcast, and the increase in `asked` that triggers the next one.
     pub(super) told: u32,
     pub(super) told_taken: u32,
     pub(super) tell_from: f64,
     pub(super) demand: DemandRate,
-    // Demand of the own zone as all zones knew it when all were last heard, units a second.
+    // Demand of the own zone when all zones were last reachable, in units per second.
     pub(super) known_demand: f64,
     pub(super) away: BTreeMap<FastStr, AwayUse>,
 }
 
 impl AccountBook {
-    // All zones were heard lately: what is known of their demand is known to all of them.
+    // Stores the present demand as known to all zones. Called while all zones are reachable.
     pub(super) fn note_known(&mut self, now: Duration) {
         self.known_demand = self.demand.slow(now);
         for away in self.away.values_mut() {
@@ -129,8 +131,8 @@
         }
     }
 
-    // The unheard zones are taken to have used their shares since the last call: what each did use is told when it is
-    // heard of again.
+    // Charges unreachable zones with their shares since the last call. Their real usage is received once they
+    // are reachable again.
     pub(super) fn settle(&mut self, reserved: &ReservedRate, now: Duration) {
         let passed = now.saturating_sub(self.settled);
         self.settled = now;
@@ -139,7 +141,7 @@
                 .away
                 .entry(zone.name.clone())
                 .or_insert_with(|| AwayUse {
-                    // Not known: as much as here.
+                    // Demand unknown: assume that of this zone.
                     demand: DemandRate::default(),
                     known_demand: self.known_demand,
                     assumed: 0.0,
@@ -159,7 +161,7 @@
     }
 }
 
-// Sums are of whole units.
+// Totals are whole units.
 pub(super) fn whole(units: f64) -> u32 {
     units.round().clamp(0.0, f64::from(u32::MAX)) as u32
 }
--- a/src/account/bucket.rs
+++ b/src/account/bucket.rs
@@ -1,36 +1,36 @@
-//! A limit as a bucket: what is used fills it, time drains it.
+//! Leaky bucket for rate limits: usage fills it and it drains over time.
 
 use std::time::Duration;
 
-/// Longest time for which a caller is told to stay away.
+/// Upper bound of the wait that a refused caller is told.
 const WAIT_LONGEST: Duration = Duration::from_secs(30);
 
-/// Shortest time for which a caller is told to stay away.
+/// Lower bound of the wait that a refused caller is told.
 const WAIT_LEAST: Duration = Duration::from_millis(1);
 
-/// What a bucket allows.
+/// Drain rate and capacity of a bucket.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BucketRate {
-    /// Units that drain each second.
+    /// Units drained per second.
     pub rate: f64,
-    /// Units that fill it.
+    /// Capacity in units.
     pub burst: f64,
 }
 
-/// A bucket. It may overflow by one request: a request larger than what is left goes in as soon as any is left, so
-/// small ones do not slip past it forever.
+/// Leaky bucket that may overflow by one request: a request larger than the remaining capacity is admitted as
+/// soon as any capacity is left, so that small requests cannot starve it.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct RateBucket {
     // Units used and not yet drained.
     level: f64,
-    // The level with what those callers will use that were sent away and told when to come back.
+    // The level plus the units of refused callers that were told when to retry.
     promised: f64,
-    // Time up to which it was drained.
+    // Time up to which the level is drained.
     drained: Duration,
 }
 
 impl RateBucket {
-    /// One that is full to this level.
+    /// Creates a bucket filled to `level`.
     pub fn filled(level: f64, now: Duration) -> Self {
         Self {
             level,
@@ -44,7 +44,7 @@
         self.level
     }
 
-    /// Drains it up to now.
+    /// Drains the bucket up to `now`.
     pub fn drain(&mut self, rate: f64, now: Duration) {
         let passed = now.saturating_sub(self.drained).as_secs_f64();
         self.drained = self.drained.max(now);
@@ -53,18 +53,18 @@
         self.promised = (self.promised - drained).max(self.level);
     }
 
-    /// Units were used, by whomever, or given back.
+    /// Adds used units, or subtracts refunded ones if negative.
     pub fn add(&mut self, units: f64) {
         self.level = (self.level + units).max(0.0);
         self.promised = self.promised.max(self.level);
     }
 
-    /// It holds no more than this; what is beyond is forgotten.
+    /// Limits the level to `most` and drops the excess.
     pub fn cap(&mut self, most: f64) {
         self.level = self.level.min(most);
     }
 
-    /// Takes units if it is not full; gives otherwise when to come back.
+    /// Takes units if the bucket is not full, or returns how long to wait before a retry.
     pub fn take(&mut self, units: f64, bounds: BucketRate, now: Duration) -> Result<(), Duration> {
         if self.is_full(bounds, now) {
             return Err(self.turn_away(units, bounds));
@@ -73,16 +73,16 @@
         Ok(())
     }
 
-    /// Whether nothing more is let in.
+    /// Whether the bucket admits nothing more.
     pub fn is_full(&mut self, bounds: BucketRate, now: Duration) -> bool {
         self.drain(bounds.rate, now);
         self.level >= bounds.burst
     }
 
-    /// When a caller is to come back that found it full with so many units.
+    /// Returns how long a caller refused with `units` should wait.
     ///
-    /// Each is promised its own place behind those before it: told the same moment, all would return at once and be
-    /// refused again.
+    /// Each refused caller gets a slot after the previous ones. With the same wait for all, they would retry
+    /// at once and be refused again.
     pub fn turn_away(&mut self, units: f64, bounds: BucketRate) -> Duration {
         if bounds.rate <= 0.0 {
             return WAIT_LONGEST;
--- a/src/account/client_account.rs
+++ b/src/account/client_account.rs
@@ -10,29 +10,29 @@
 /// A client account.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ClientAccount {
-    /// Its name, which backend servers are told.
+    /// Name, which is also sent to backend servers.
     pub name: FastStr,
-    /// Hashes of the keys that its callers show.
+    /// Hashes of the API keys of its callers.
     pub keys: Vec<KeyHash>,
-    /// Goes before the priority of a route, 0 is the most urgent; none leaves it to the route.
+    /// Overrides the priority of the route; 0 is the most urgent. None keeps the route's priority.
     pub priority: Option<u8>,
-    /// What all hosts together let in; none where nothing bounds it.
+    /// Rate limit across all hosts. None means unlimited.
     pub limit: Option<AccountLimit>,
 }
 
-/// What all hosts together let in for an account.
+/// Rate limit of an account across all hosts.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct AccountLimit {
-    /// What is counted.
+    /// Unit that the limit counts.
     pub unit: LimitUnit,
-    /// Units a second.
+    /// Units per second.
     pub rate: f64,
-    /// Units that may be used at once beyond that.
+    /// Units that may be used at once on top of the rate.
     pub burst: f64,
 }
 
 impl AccountLimit {
-    /// Units that a request of so many tokens is charged; `tokens` is 0 for one that names none.
+    /// Units charged for a request of `tokens` tokens, 0 if the request names no number.
     pub fn charge(&self, tokens: u64) -> f64 {
         match self.unit {
             LimitUnit::Requests => 1.0,
@@ -42,25 +42,25 @@
     }
 }
 
-/// What a limit counts.
+/// Unit that a limit counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LimitUnit {
     /// Requests.
     Requests,
-    /// Tokens of the prompt and of the longest answer.
+    /// Tokens of the prompt plus the maximum number of completion tokens.
     Tokens {
-        /// Tokens of a request that names none.
+        /// Tokens charged for a request that names no number.
         unnamed: u64,
     },
 }
 
-/// An account in what hosts tell each other: a hash of its name.
+/// Account id in messages between hosts: a hash of the account's name.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AccountKey(pub u64);
 
 impl AccountKey {
-    /// The key of an account by its name.
+    /// Computes the id from the account's name.
     pub fn of(name: &str) -> Self {
         Self(xxh3::xxh3_64(name.as_bytes()))
     }
--- a/src/account/desk.rs
+++ b/src/account/desk.rs
@@ -1,4 +1,4 @@
-//! How a host comes to let an account's request in: freely, after it has asked the zone's ledger, or by a guess.
+//! How a host admits a request of an account: at once, after asking the zone's ledger, or by an estimate.
 
 use {
     super::{
@@ -8,26 +8,27 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// How old the list of accounts that are near their limits may be: reports are answered twice in that time.
+/// Maximum age of the list of accounts near their limits. Reports are answered twice in that time.
 const NEAR_LIFE: Duration = Duration::from_millis(2_000);
 
-/// How long a host goes by guesses after a question that was not answered: by then it reports to another host.
+/// How long a host uses estimates after the ledger failed to answer. By then it reports to another host.
 const SILENT_TIME: Duration = Duration::from_millis(400);
 
-/// Share of requests that a host lets in without asking while nobody has told it of any account. All hosts are in that state
-/// for a moment after all were lost, and callers whose requests broke off come back at once. With all let in for 1.2 s,
-/// accounts at 7.5 times their usual went to 1.08 of what is tolerated; with this share the worst stays below 1.0, and with
-/// 0.65 one request in 18 within the limits would be refused in the nine seconds from then on (tests/account_limits.rs).
+/// Fraction of requests that a host admits without asking before any ledger has sent it a list of accounts.
+/// All hosts are briefly in that state after a loss of all hosts, when callers of interrupted requests retry
+/// at once. When all requests were admitted for 1.2 s, accounts at 7.5 times their usual demand reached 1.08
+/// of the tolerated usage; with this value the worst case stays below 1.0. With 0.65, one in 18 requests
+/// within the limits would be refused in the following nine seconds (tests/account_limits.rs).
 const UNTOLD_SHARE: f64 = 0.7;
 
-/// How a request is let in.
+/// How a request is admitted.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum UseChoice {
-    /// At once: its account is far under its limit.
+    /// At once, since the account is far below its limit.
     Free,
-    /// If the zone's ledger says so.
+    /// If the zone's ledger agrees.
     Ask,
-    /// As this share of requests, 0 to 1: the ledger does not answer.
+    /// With this probability, since the ledger does not answer.
     Guess(f64),
 }
 
@@ -37,7 +38,7 @@
     taken: u32,
 }
 
-/// What a host knows of the use of accounts.
+/// A host's data on account usage, by which it admits requests.
 #[derive(Debug, Default)]
 pub struct AllowanceDesk {
     untold: BTreeMap<AccountKey, UntoldUse>,
@@ -47,7 +48,7 @@
 }
 
 impl AllowanceDesk {
-    /// How a request of an account is let in.
+    /// Decides how a request of an account is admitted.
     pub fn choose(&self, account: AccountKey, now: Duration) -> UseChoice {
         let is_told = self
             .near_told
@@ -60,12 +61,12 @@
         }
     }
 
-    /// Whether no ledger has told this host anything yet.
+    /// Whether no ledger has sent this host a list of accounts yet.
     pub fn is_untold(&self) -> bool {
         self.near_told.is_none()
     }
 
-    /// Share of an account's requests that is let in where the ledger cannot be asked.
+    /// Fraction of an account's requests to admit when the ledger cannot be asked.
     pub fn guessed_share(&self, account: AccountKey) -> f64 {
         let usual = match self.is_untold() {
             true => UNTOLD_SHARE,
@@ -74,12 +75,12 @@
         self.near.get(&account).copied().unwrap_or(usual)
     }
 
-    /// The ledger did not answer a question.
+    /// Records that the ledger did not answer.
     pub fn note_silent(&mut self, now: Duration) {
         self.silent_until = now + SILENT_TIME;
     }
 
-    /// A request of so many units was let in, or refused, without the ledger.
+    /// Records a request of `units` that was admitted or refused without the ledger.
     pub fn note(&mut self, account: AccountKey, units: f64, is_let_in: bool) {
         let untold = self.untold.entry(account).or_default();
         let units = units.round() as u32;
@@ -89,13 +90,13 @@
         }
     }
 
-    /// A request that was let in did certainly not run.
+    /// Refunds an admitted request that certainly did not run.
     pub fn give_back(&mut self, account: AccountKey, units: f64) {
         let untold = self.untold.entry(account).or_default();
         untold.taken = untold.taken.wrapping_sub(units.round() as u32);
     }
 
-    /// What is to be told, and counts as told from now on.
+    /// Takes the usage to report and marks it as reported.
     pub fn take_untold(&mut self) -> Vec<AccountUse> {
         let untold = std::mem::take(&mut self.untold).into_iter();
         untold
@@ -108,7 +109,7 @@
             .collect()
     }
 
-    /// What was to be told did not arrive; it is told again.
+    /// Restores usage whose report was not delivered, so that it is reported again.
     pub fn put_back(&mut self, uses: Vec<AccountUse>) {
         for used in uses {
             let untold = self.untold.entry(used.account).or_default();
@@ -117,7 +118,8 @@
         }
     }
 
-    /// Takes the accounts that are near their limits, as the zone's ledger tells them; nothing where it cannot yet.
+    /// Sets the accounts near their limits as received from the zone's ledger, which sends none during its
+    /// warm-up.
     pub fn set_near(&mut self, near: Option<&[NearAccount]>, now: Duration) {
         let Some(near) = near else { return };
         let named = near.iter().map(|near| (near.account, near.share));
--- a/src/account/directory.rs
+++ b/src/account/directory.rs
@@ -1,4 +1,4 @@
-//! The accounts of a configuration, found by the hash of a key.
+//! Index of the configured accounts by key hash and by name.
 
 use {
     super::{
@@ -8,7 +8,7 @@
     std::{collections::HashMap, rc::Rc},
 };
 
-/// The accounts of a configuration, laid out for look-ups.
+/// Index of the configured accounts.
 #[derive(Debug, Default)]
 pub struct AccountDirectory {
     by_key: HashMap<KeyHash, Rc<ClientAccount>>,
@@ -16,7 +16,8 @@
 }
 
 impl AccountDirectory {
-    /// Lays accounts out. A key that two of them claim opens nothing: nobody could say whose request it is.
+    /// Builds the index. A key listed by two accounts grants no access, as its requests could not be
+    /// attributed.
     pub fn new(accounts: &[ClientAccount]) -> Self {
         let mut claims: HashMap<KeyHash, Option<Rc<ClientAccount>>> = HashMap::new();
         let mut by_name = HashMap::new();
@@ -42,22 +43,22 @@
         }
     }
 
-    /// The account that holds a key.
+    /// Returns the account that owns a key.
     pub fn holder(&self, key: &KeyHash) -> Option<Rc<ClientAccount>> {
         self.by_key.get(key).cloned()
     }
 
-    /// An account by its name's hash.
+    /// Returns an account by the hash of its name.
     pub fn account(&self, key: AccountKey) -> Option<&Rc<ClientAccount>> {
         self.by_name.get(&key)
     }
 
-    /// Keys that open something.
+    /// Number of usable keys.
     pub fn len(&self) -> usize {
         self.by_key.len()
     }
 
-    /// Whether no key opens anything.
+    /// Whether there is no usable key.
     pub fn is_empty(&self) -> bool {
         self.by_key.is_empty()
     }
--- a/src/account/key.rs
+++ b/src/account/key.rs
@@ -1,4 +1,4 @@
-//! Keys that callers show, known by their hashes only.
+//! API keys of callers, kept as hashes only.
 
 use {
     serde::{Deserialize, Deserializer, Serialize, Serializer, de::Error},
@@ -6,15 +6,15 @@
     std::{fmt, str},
 };
 
-/// What a written hash begins with.
+/// Prefix of a hash in its text form.
 const PREFIX: &str = "sha256:";
 
-/// The SHA-256 of a key. Hosts hold, log and tell each other nothing else of keys.
+/// SHA-256 of an API key. Hosts store, log and exchange only the hash, never the key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyHash([u8; 32]);
 
 impl KeyHash {
-    /// The hash of a key as its caller shows it.
+    /// Hashes a key as the caller presents it.
     pub fn of(key: &[u8]) -> Self {
         Self(Sha256::digest(key).into())
     }
@@ -48,19 +48,19 @@
 impl<'de> Deserialize<'de> for KeyHash {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let text = String::deserialize(deserializer)?;
-        // The text may be a key that was written in place of its hash, so the error does not show it.
+        // The text may be an unhashed key entered by mistake, so the error does not include it.
         Self::parse(&text).ok_or_else(|| D::Error::custom("not a hash of a key"))
     }
 }
 
-/// What a request shows in place of a key.
+/// The API key that a request presents, if any.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum ShownKey {
-    /// Nothing.
+    /// No key.
     #[default]
     None,
-    /// One key.
+    /// Exactly one key.
     One(KeyHash),
-    /// Several, of which nobody can say which one is meant.
+    /// Several keys, so that it is ambiguous which one applies.
     Several,
 }
--- a/src/account/ledger.rs
+++ b/src/account/ledger.rs
@@ -1,9 +1,10 @@
-//! What each account uses, as the host knows it that keeps the books of its availability zone.
+//! Usage of each account in an availability zone, as tracked by the host that keeps the zone's ledger.
 //!
-//! The account that is near its limit is asked for here before each of its requests, by all hosts of the zone; others
-//! are let in freely and told with the next report. The zones tell each other their sums several times a second. A
-//! zone that is not heard of is taken to use its share of the limit, by what was asked for there before, so both
-//! sides of a cut together stay within the limit.
+//! For an account near its limit, every host of the zone asks the ledger before it admits a request. Requests
+//! of other accounts are admitted without asking and reported periodically. Ledgers of different zones
+//! exchange their totals several times a second. A zone that cannot be reached is assumed to use its share of
+//! the limit, based on its earlier demand, so that both sides of a network partition together stay within the
+//! limit.
 
 use {
     super::{
@@ -23,44 +24,48 @@
     xxhash_rust::xxh3,
 };
 
-/// How long a zone may go unheard until its share of each limit is left to it: three of its reports.
+/// Time without an update after which a zone counts as unreachable and its share of each limit is reserved
+/// for it: three report intervals.
 pub(super) const CUT_AFTER: Duration = Duration::from_millis(1_000);
 
-/// How many times its present demand an account is taken to ask for all at once, before its hosts hear of it.
+/// Factor by which an account's demand may jump before the hosts of the zone learn that it is near its limit.
 const SURGE: f64 = 8.0;
 
-/// Time until all hosts of a zone know that an account is near its limit, seconds: two reports and the sums of the
-/// other zones.
+/// Time until all hosts of a zone know that an account is near its limit, in seconds: two reports plus the
+/// totals of the other zones.
 const LAG_SECONDS: f64 = 1.5;
 
-/// How often the accounts that are near their limits are worked out.
+/// Interval at which the list of accounts near their limits is recomputed.
 const NEAR_PERIOD: Duration = Duration::from_millis(100);
 
-/// Time after which a ledger has heard of all hosts of its zone and of the other zones.
+/// Time after which a new ledger has received data from all hosts of its zone and from the other zones.
 const SETTLE_TIME: Duration = Duration::from_millis(1_500);
 
-/// Part of what may go beyond a limit that callers get; the rest covers what hosts do not know of each other.
+/// Fraction of the tolerated overshoot that is granted to callers. The rest covers usage that hosts do not
+/// know of yet.
 const GRANTED_PART: f64 = 0.1;
 
-/// Part of what may go beyond a limit that is left to requests which are let in without asking.
+/// Fraction of the tolerated overshoot that is left for requests admitted without asking.
 const FREE_PART: f64 = 0.6;
 
-/// Part of the burst that is taken as used when a ledger begins: what was used before it is not known.
+/// Fraction of the burst that a new ledger assumes to be used, as it does not know the earlier usage.
 const BEGIN_LEVEL: f64 = 0.9;
 
-/// Seconds of the rate that a bucket may be over its burst: what went beyond is repaid later, but no longer than that.
+/// Seconds of the rate by which a bucket may exceed its burst. The excess delays later requests, but by no
+/// more than this.
 pub(super) const DEBT_SECONDS: f64 = 2.0;
 
-/// Seconds of an account's rate that a zone asks for until it tells the others, if the account is far under its limit.
+/// Demand since the last broadcast, in seconds of the account's rate, from which a ledger broadcasts an
+/// account that is far below its limit.
 const TELL_SECONDS: f64 = 0.25;
 
-/// How long a ledger is one that hosts go by, after one of them asked it: as long as they keep to what it told.
+/// How long a ledger counts as in use after a request from a host: hosts act on its answers for that long.
 const KEPT_TIME: Duration = Duration::from_millis(2_000);
 
-/// How long an account that is not used is told of, and a ledger that is not heard of remembered.
+/// How long an idle account stays in broadcasts, and how long a silent ledger is remembered.
 pub(super) const BOOK_LIFE: Duration = Duration::from_secs(30);
 
-/// The books of an availability zone.
+/// Tracks the usage of all accounts in an availability zone.
 #[derive(Debug)]
 pub struct ZoneLedger {
     pub(super) id: u64,
@@ -68,19 +73,19 @@
     pub(super) began: Duration,
     tolerance: LimitTolerance,
     pub(super) books: BTreeMap<AccountKey, AccountBook>,
-    // The other zones that have hosts, and when each was last heard of.
+    // Other zones that have hosts, each with the time of its last update.
     pub(super) zones: BTreeMap<FastStr, Option<Duration>>,
-    // What other ledgers told, by their ids.
+    // Totals received from other ledgers, by ledger id.
     pub(super) seen: BTreeMap<u64, SeenLedger>,
-    // The accounts near their limits, as last worked out, and when that was.
+    // Accounts near their limits and the time at which the list was computed.
     near: Vec<NearAccount>,
     near_at: Option<Duration>,
-    // When a host was last answered that asked or told of its uses.
+    // When the ledger last answered a host that asked it or reported usage.
     kept: Option<Duration>,
 }
 
 impl ZoneLedger {
-    /// Books of an availability zone in which nothing stands; `id` is drawn at random.
+    /// Creates an empty ledger. `id` is random.
     pub fn new(id: u64, zone: FastStr, tolerance: LimitTolerance, now: Duration) -> Self {
         Self {
             id,
@@ -96,7 +101,7 @@
         }
     }
 
-    /// Takes the other zones that have hosts.
+    /// Sets the other zones that have hosts.
     pub fn set_zones(&mut self, zones: &BTreeSet<FastStr>) {
         self.zones.retain(|zone, _| zones.contains(zone));
         for zone in zones {
@@ -104,7 +109,7 @@
         }
     }
 
-    /// Lets a request of so many units in, or tells when its caller is to come back.
+    /// Admits a request of `units`, or returns how long its caller should wait.
     pub fn charge(
         &mut self,
         account: AccountKey,
@@ -130,7 +135,7 @@
         taken
     }
 
-    /// Takes what a host let in by itself, or was given back to it.
+    /// Records usage that a host admitted without asking, or that was refunded to it.
     pub fn note(&mut self, used: AccountUse, limit: AccountLimit, now: Duration) {
         let reserved = self.reserve(used.account, limit, now);
         let rate = self.own_rate(limit, &reserved, now);
@@ -138,16 +143,17 @@
         book.note_asked(f64::from(used.asked), now);
         book.settle(&reserved, now);
         book.bucket.drain(rate, now);
-        // Given back where that is more: a difference modulo 2^32.
+        // The difference is modulo 2^32 and negative if more was refunded than used.
         book.bucket.add(f64::from(used.taken as i32));
         book.bucket.cap(limit.burst + DEBT_SECONDS * limit.rate);
         book.taken = book.taken.wrapping_add(used.taken);
     }
 
-    /// A host was answered that asks this ledger, or tells it of its uses.
+    /// Records that the ledger answered a host that asked it or reported usage.
     ///
-    /// A host that comes to keep the books long after its start begins them now: as of its start, what was used before would have
-    /// drained. Of three zones whose keepers were killed each let in a third of the burst once more, 222,600 units where 70,100
+    /// If a host becomes the keeper of the ledger long after its start, the ledger is reset to start now.
+    /// With the host's start as the reference, all earlier usage would count as drained. When the keepers of
+    /// three zones were killed, each new one admitted a third of the burst again: 222,600 units where 70,100
     /// were left (tests/account_limits.rs).
     pub fn note_kept(&mut self, now: Duration) {
         if !self.is_kept(now) && self.is_settled(now) {
@@ -156,7 +162,7 @@
         self.kept = Some(now);
     }
 
-    // Other ledgers take it for another one: its sums begin anew.
+    // The new id makes other ledgers treat it as a new ledger whose totals start at zero.
     fn begin(&mut self, now: Duration) {
         let drawn = xxh3::xxh3_64_with_seed(&self.id.to_le_bytes(), now.as_nanos() as u64);
         self.id = drawn.max(1);
@@ -169,21 +175,21 @@
         }
     }
 
-    /// Whether hosts go by this ledger.
+    /// Whether hosts currently use this ledger.
     pub fn is_kept(&self, now: Duration) -> bool {
         self.kept
             .is_some_and(|at| now.saturating_sub(at) < KEPT_TIME)
     }
 
-    /// Whether it has heard enough to say which accounts are far under their limits. Until then hosts ask for all: with
-    /// 1.4 million units a second asked for after all hosts were killed, 0.3 s without asking went 0.11 beyond what is
-    /// tolerated (tests/account_limits.rs).
+    /// Whether the ledger has enough data to tell which accounts are far below their limits. Until then hosts
+    /// ask for every request: with a demand of 1.4 million units a second after all hosts were killed, 0.3 s
+    /// without asking exceeded the tolerance by 0.11 (tests/account_limits.rs).
     pub fn is_settled(&self, now: Duration) -> bool {
         now.saturating_sub(self.began) >= SETTLE_TIME
     }
 
-    /// The accounts of which hosts are to ask before they let a request in; worked out anew each tenth of a second, since
-    /// all hosts of the zone are told it several times a second.
+    /// Accounts for which hosts must ask before they admit a request. The list is recomputed at most every
+    /// 0.1 s, since all hosts of the zone request it several times a second.
     pub fn near(&mut self, accounts: &AccountDirectory, now: Duration) -> &[NearAccount] {
         let is_due = self
             .near_at
@@ -210,14 +216,15 @@
         near.collect()
     }
 
-    // Units beyond the burst that are let in on purpose.
+    // Units above the burst that are admitted on purpose.
     fn granted_beyond(&self, limit: AccountLimit) -> f64 {
         GRANTED_PART * self.tolerance.beyond(limit)
     }
 
-    // This ledger's part of what is left of a limit and of its rate. While it has just begun, the ledgers of zones that have not
-    // told it anything may have begun at the same time: they share both. Three that had not heard of each other let in 190,800
-    // units of one account in 0.6 s, where its limit leaves 97,810 (tests/account_limits.rs).
+    // This ledger's share of the remaining limit and of its rate. During warm-up, the ledgers of zones that
+    // have sent no update may be just as new, so all of them share both. Three ledgers that had not heard
+    // from each other admitted 190,800 units of one account in 0.6 s, where its limit left 97,810
+    // (tests/account_limits.rs).
     fn begin_part(&self, now: Duration) -> f64 {
         if self.is_settled(now) {
             return 1.0;
@@ -226,14 +233,14 @@
         1.0 / (1 + unheard.count()) as f64
     }
 
-    // How full a bucket may be.
+    // Capacity of an account's bucket.
     fn room(&self, limit: AccountLimit, now: Duration) -> f64 {
         let whole = limit.burst.max(1.0) + self.granted_beyond(limit);
         let begun = limit.burst * BEGIN_LEVEL;
         begun + (whole - begun) * self.begin_part(now)
     }
 
-    // Units a second that drain for this side of a cut, or for this one of several ledgers that have just begun.
+    // Drain rate of this side of a partition, or of this one of several new ledgers, in units per second.
     pub(super) fn own_rate(
         &self,
         limit: AccountLimit,
@@ -243,7 +250,8 @@
         limit.rate * reserved.own_share() * self.begin_part(now)
     }
 
-    // Whether the account could go beyond its limit by more than is tolerated before its hosts hear of it.
+    // Whether the account could exceed its limit by more than the tolerance before its hosts learn that it is
+    // near.
     fn may_surge(&self, book: &AccountBook, limit: AccountLimit, demand: f64) -> bool {
         let window = self.tolerance.window.as_secs_f64();
         let tolerated = self.tolerance.beyond(limit);
@@ -257,14 +265,14 @@
         zones.all(|heard| self.unheard_time(*heard, now).is_zero())
     }
 
-    // How long a zone has been taken to use its share unheard.
+    // How long a zone has been unreachable, that is, assumed to use its share.
     fn unheard_time(&self, heard: Option<Duration>, now: Duration) -> Duration {
         let until = heard.unwrap_or(self.began) + CUT_AFTER;
         now.saturating_sub(until)
     }
 
-    // What is left to zones that are not heard of: their shares of the demand as all zones knew it when they last heard
-    // of each other, so that the shares of all sides of a cut together are the whole.
+    // Rate reserved for unreachable zones. Their shares follow from the demand that all zones knew when they
+    // were last in contact, so the shares of all sides of a partition add up to the whole limit.
     pub(super) fn reserve(
         &self,
         account: AccountKey,
@@ -287,7 +295,7 @@
             let demand = away.map_or(book.known_demand, |away| away.known_demand);
             Some(demand + book.idle_demand())
         };
-        // Nothing is known of an account without a book: all zones are alike.
+        // Without usage data for the account, all zones count as equal.
         let demand_of = |zone: &FastStr| demand_of(zone).unwrap_or(1.0);
         let own = book.map_or(1.0, |book| book.known_demand + book.idle_demand());
         let whole: f64 = own + self.zones.keys().map(demand_of).sum::<f64>();
@@ -316,7 +324,7 @@
         let hears_all = self.hears_all(now);
         let began = self.began;
         let book = self.books.entry(account).or_insert_with(|| AccountBook {
-            // What was used before the ledger began has drained since.
+            // Usage from before the ledger started has drained since.
             bucket: RateBucket::filled(limit.burst * BEGIN_LEVEL, began),
             settled: now,
             ..AccountBook::default()
@@ -329,7 +337,7 @@
         book
     }
 
-    /// Forgets other ledgers that were not heard of for long, and accounts that are no longer configured.
+    /// Drops ledgers that have been silent for too long and accounts that are no longer configured.
     pub fn forget_old(&mut self, accounts: &AccountDirectory, now: Duration) {
         self.seen
             .retain(|_, ledger| now.saturating_sub(ledger.told) < BOOK_LIFE);
@@ -337,7 +345,7 @@
             .retain(|account, _| accounts.account(*account).is_some());
     }
 
-    /// Units used of an account's limit and not yet drained, and units that are asked for each second; for metrics.
+    /// Units used and not yet drained, and demand in units per second, for metrics.
     pub fn figures(&self, account: AccountKey, now: Duration) -> (f64, f64) {
         let book = self.books.get(&account);
         book.map_or((0.0, 0.0), |book| {
--- a/src/account/ledger_sums.rs
+++ b/src/account/ledger_sums.rs
@@ -1,4 +1,4 @@
-//! What ledgers tell each other: their sums, and taking those of others.
+//! Exchange of totals between ledgers.
 
 use {
     super::{
@@ -12,17 +12,18 @@
     std::{collections::BTreeSet, time::Duration},
 };
 
-/// Part of what two ledgers' levels differ by that is made up each time one tells the other. What one of them missed
-/// would otherwise stay for as long as the account is at its limit, and its zone get less than its share: with an
-/// account at eight times its usual, 0.46 of one zone's requests were refused and 0.17 of another's.
+/// Fraction of the difference between the levels of two ledgers that is corrected with each update. Without
+/// it, usage that one ledger missed would distort its level for as long as the account is at its limit, and
+/// its zone would get less than its share: with an account at eight times its usual demand, 0.46 of the
+/// requests of one zone were refused and 0.17 of another's.
 const LEVEL_PULL: f64 = 0.3;
 
-/// Most that is added, as part of the burst, for what a zone used beyond its share while it was not heard of.
+/// Maximum level added, as a fraction of the burst, for usage above its share by a zone that was unreachable.
 const HEALED_LEVEL: f64 = 1.0;
 
 impl ZoneLedger {
-    /// The sums of this ledger that are told to all others now: of all accounts in use, or of those that are near their
-    /// limits or have used much since they were told last.
+    /// Totals to broadcast now: those of all active accounts if `is_whole`, else those of accounts near their
+    /// limits or with much usage since the last broadcast.
     pub fn tell_sums(
         &mut self,
         is_whole: bool,
@@ -41,8 +42,8 @@
         sums
     }
 
-    /// The sums of this ledger for one that asks: of some accounts, or of those that have used much; none where no host
-    /// goes by it, since it knows its zone's use from others only.
+    /// Totals for another ledger that asks: those of `some` accounts and of accounts with much usage. None if
+    /// no host uses this ledger, as it then knows the usage of its zone only from others.
     pub fn answer_sums(&self, some: &BTreeSet<AccountKey>, now: Duration) -> Option<LedgerSums> {
         self.is_kept(now).then(|| {
             self.sums_of(now, |account, book| {
@@ -73,7 +74,8 @@
         }
     }
 
-    /// What other ledgers told lately of some accounts: hosts that keep books may not all hear each other.
+    /// Recent totals of other ledgers for `some` accounts, relayed since ledger hosts may not all reach each
+    /// other.
     pub fn heard_sums(&self, some: &BTreeSet<AccountKey>, now: Duration) -> Vec<LedgerSums> {
         let seen = self.seen.iter();
         let seen = seen.filter(|(_, ledger)| now.saturating_sub(ledger.told) < CUT_AFTER);
@@ -84,19 +86,19 @@
             uses: some
                 .iter()
                 .filter_map(|account| ledger.sums.get(account))
-                // Its level has changed since.
+                // The level has changed since.
                 .map(|sum| AccountUse { level: 0, ..*sum })
                 .collect(),
         })
         .collect()
     }
 
-    /// Takes the sums of another ledger, from itself or from a third one.
+    /// Merges the totals of another ledger, received directly or relayed by a third one.
     pub fn take_sums(&mut self, sums: &LedgerSums, accounts: &AccountDirectory, now: Duration) {
         if sums.id == self.id {
             return;
         }
-        // Sums of a ledger that is older than this one go back to before what this one knows.
+        // Totals of an older ledger include usage from before the start of this one.
         let is_older = sums.age > now.saturating_sub(self.began);
         let seen = self.seen.entry(sums.id).or_default();
         let changes = seen.take(sums, is_older, now);
@@ -132,7 +134,7 @@
         match assumed > 0.0 {
             false => {
                 book.bucket.add(used);
-                // The other one has not heard what was let in here since the sums were last told.
+                // The other ledger does not know what was admitted here since the last broadcast.
                 let unheard = book.taken.wrapping_sub(book.told_taken) as i32;
                 let theirs = f64::from(change.level) + f64::from(unheard);
                 let apart = theirs - book.bucket.level();
@@ -140,7 +142,7 @@
                     book.bucket.add(apart * LEVEL_PULL);
                 }
             }
-            // What it used beyond its share was spread over the whole cut and has drained for the most part.
+            // Usage above its share was spread over the whole partition and has mostly drained.
             true => book
                 .bucket
                 .add((used - assumed).min(limit.burst * HEALED_LEVEL)),
--- a/src/account/mod.rs
+++ b/src/account/mod.rs
@@ -1,7 +1,8 @@
-//! Client accounts: who a request is for, by the key that its caller shows, and what the account may still use.
+//! Client accounts: which account a request belongs to, by the API key it presents, and how much of its rate
+//! limit the account has left.
 //!
-//! Plain state machines and functions on a given time, without clock, socket or task: the chain of filters and the
-//! relay both call them.
+//! Plain state machines and functions that take the time as an argument and use no clock, socket or task.
+//! Both the filter chain and the relay call them.
 
 mod account_book;
 mod bucket;
--- a/src/account/seen_ledger.rs
+++ b/src/account/seen_ledger.rs
@@ -1,4 +1,4 @@
-//! What another ledger told of its sums, and what it used since it last told.
+//! Totals received from another ledger, and the usage since the previous ones.
 
 use {
     super::{
@@ -9,10 +9,10 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// What another ledger told.
+/// Totals received from another ledger.
 #[derive(Debug, Default)]
 pub(super) struct SeenLedger {
-    // When it told last, on this host's clock, and how old it was then.
+    // When the ledger last sent its totals, on this host's clock, and its age then.
     pub(super) told: Duration,
     pub(super) age: Duration,
     pub(super) zone: FastStr,
@@ -20,8 +20,9 @@
 }
 
 impl SeenLedger {
-    /// Takes sums, from the ledger itself or from a third one; gives what was used since the last ones. Of a ledger that is
-    /// older than the one that takes, first sums go back to before what that one knows.
+    /// Merges totals, received from the ledger itself or relayed by a third one, and returns the usage since
+    /// the previous ones. The first totals of a ledger that is older than the receiving one include usage
+    /// from before the receiver's start, so they only set the baseline.
     pub(super) fn take(
         &mut self,
         sums: &LedgerSums,
@@ -37,7 +38,7 @@
                 true => *sum,
                 false => AccountUse::default(),
             });
-            // What a third one heard may be older than what is known already.
+            // Relayed totals may be older than the ones already known.
             if let Some(change) = use_since(before, *sum) {
                 self.sums.insert(sum.account, *sum);
                 changes.push(change);
@@ -47,7 +48,7 @@
     }
 }
 
-// What was used between two sums of a ledger, counted modulo 2^32; none where the second one is the older.
+// Usage between two totals of a ledger, modulo 2^32. None if the second one is the older.
 fn use_since(before: AccountUse, sum: AccountUse) -> Option<AccountUse> {
     let asked = sum.asked.wrapping_sub(before.asked);
     let is_later = (asked as i32) >= 0;
--- a/src/account/standing.rs
+++ b/src/account/standing.rs
@@ -1,63 +1,67 @@
-//! Whether a key opens a route: by the configuration in force, and by how surely that is the newest.
+//! Decides whether a key grants access to a route, by the active configuration and by how recently it was
+//! confirmed to be the newest.
 //!
-//! Keys that were taken away open nothing, also at a host that cannot hear of it. So a host lets a request in by its
-//! key only while it can show that its configuration was the newest a short time before. The proof is a moment: a call
-//! to the store that was *sent* then was answered later, with nothing newer. Counted from the sending it holds
-//! whatever delayed the answer, a frozen process included. Hosts pass the moment on, never a later one.
+//! Revoked keys must grant no access, even on a host that cannot receive the revocation. A host therefore
+//! admits a request by its key only if its configuration was confirmed as the newest a short time ago. The
+//! confirmation (proof) is a point in time: a call to the store *sent* at that time was answered later and
+//! returned nothing newer. Because it counts from the sending, it holds whatever delayed the answer, even if
+//! the process was suspended. Hosts pass this time on and never replace it by a later one.
 
 use {
     super::{client_account::ClientAccount, directory::AccountDirectory, key::ShownKey},
     std::{rc::Rc, time::Duration},
 };
 
-/// Part of the time that operators give a revocation which is left unused: clocks of two hosts may run differently by
-/// one in a hundred, by far more than quartz does.
+/// Fraction of the configured revocation time kept as a margin: the clocks of two hosts may drift apart by
+/// 1%, far more than quartz clocks do.
 const CLOCK_MARGIN: f64 = 0.01;
 
-/// How long a watch of the store may be deaf before it is cut: a proof by a watch may be wrong by as much.
+/// How long a watch of the store may be silent before it is closed. A proof obtained from a watch may be off
+/// by as much.
 const DEAF_MARGIN: Duration = Duration::from_millis(1_000);
 
-/// Part of a proof's life after which it is renewed: what is left has to last through an outage of the store.
+/// Fraction of the maximum proof age after which the proof is renewed. The rest has to last through an outage
+/// of the store.
 const RENEW_PART: f64 = 0.12;
 
-/// By when keys that were taken away have to be closed.
+/// Deadlines for key changes to take effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct KeyRules {
-    /// From the acknowledgement of a configuration until a key that it lacks must not open anything at any host, in
-    /// touch or not; none where only hosts in touch have to know.
+    /// Time from the acknowledgement of a configuration until keys missing from it must be rejected by every
+    /// host, whether it is connected or not. None if this applies to connected hosts only.
     pub revoke_time: Option<Duration>,
-    /// From the acknowledgement of a configuration until a key that it adds must not be refused.
+    /// Time from the acknowledgement of a configuration until its new keys must be accepted.
     pub apply_time: Duration,
 }
 
 impl KeyRules {
-    /// How old a proof may be that still lets requests in.
+    /// Maximum age of a proof that still admits requests.
     pub fn proof_life(&self) -> Option<Duration> {
         let time = self.revoke_time?.mul_f64(1.0 - CLOCK_MARGIN);
         Some(time.saturating_sub(DEAF_MARGIN))
     }
 
-    /// How often a proof is renewed.
+    /// Interval at which a proof is renewed.
     pub fn renew_time(&self) -> Option<Duration> {
         Some(self.proof_life()?.mul_f64(RENEW_PART))
     }
 }
 
-/// What a shown key says of a request.
+/// Result of checking a presented key.
 #[derive(Debug, Clone, PartialEq)]
 pub enum KeyStanding {
-    /// It is in force, and for this account.
+    /// The key is valid and belongs to this account.
     Account(Rc<ClientAccount>),
-    /// No key is needed, and none in force was shown.
+    /// No key is required, and no valid one was presented.
     Open,
-    /// No configuration known here has it.
+    /// The key is missing or not in the configuration.
     Unknown,
-    /// This host may be behind: whether the key is in force is not known here.
+    /// This host's configuration may be outdated, so the key cannot be checked.
     Unsure,
 }
 
-/// Judges what a request shows. `accounts` is none where the configuration in force has no accounts at all; `proof` is
-/// how long ago it was surely the newest.
+/// Checks the key that a request presents. `accounts` is none if the active configuration defines no
+/// accounts; `proof` is the time since the configuration was confirmed to be the newest.
 pub fn judge_key(
     accounts: Option<&AccountDirectory>,
     shown: ShownKey,
@@ -81,7 +85,7 @@
             true => KeyStanding::Account(account),
             false => KeyStanding::Unsure,
         },
-        // It may have been added since: who says no for good has to be sure.
+        // The key may have been added since. A final refusal requires a recent proof.
         None if matches!(shown, ShownKey::One(_)) && !is_within(rules.apply_time) => {
             KeyStanding::Unsure
         }
--- a/src/account/tolerance.rs
+++ b/src/account/tolerance.rs
@@ -1,27 +1,27 @@
-//! What operators tolerate beyond the limits of accounts.
+//! Usage above the limits of accounts that operators tolerate.
 
 use {super::client_account::AccountLimit, std::time::Duration};
 
-/// What may go beyond a limit, as operators tolerate it: `share` of what a window allows, and `extra` units.
+/// Tolerated usage above a limit: `share` of the usage allowed in a window, plus `extra` units.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitTolerance {
-    /// Part of what the window allows.
+    /// Fraction of the usage allowed in the window.
     pub share: f64,
-    /// Units beyond that.
+    /// Additional units.
     pub extra: f64,
-    /// The window.
+    /// Length of the window.
     pub window: Duration,
 }
 
 impl LimitTolerance {
-    /// Nothing is tolerated.
+    /// No tolerance.
     pub const NONE: Self = Self {
         share: 0.0,
         extra: 0.0,
         window: Duration::from_secs(1),
     };
 
-    /// Units that may go beyond a limit within the window.
+    /// Units above a limit that are tolerated within the window.
     pub fn beyond(&self, limit: AccountLimit) -> f64 {
         let allowed = limit.rate * self.window.as_secs_f64() + limit.burst;
         allowed * self.share + self.extra
--- a/src/account/use_report.rs
+++ b/src/account/use_report.rs
@@ -1,47 +1,48 @@
-//! What hosts tell each other of the use of accounts.
+//! Messages about account usage that hosts exchange.
 
 use {super::client_account::AccountKey, faststr::FastStr, std::time::Duration};
 
-/// What an account used: by a host since it last told, by a ledger since it began.
+/// Usage of an account: on a host since its last report, or in a ledger since its start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct AccountUse {
     /// The account.
     pub account: AccountKey,
-    /// Units that its callers asked for, refused or not. Counted modulo 2^32, as the next.
+    /// Requested units, refused ones included, modulo 2^32.
     pub asked: u32,
-    /// Units that were let in, less what was given back.
+    /// Admitted units less refunds, modulo 2^32.
     pub taken: u32,
-    /// Units used by all and not yet drained, as a ledger has it; 0 where that is not told.
+    /// Units used in all zones and not yet drained, as a ledger knows them. 0 if not sent.
     pub level: u32,
 }
 
-/// An account whose limit may be met soon.
+/// Account that may reach its limit soon.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct NearAccount {
     /// The account.
     pub account: AccountKey,
-    /// Share of its requests that fits into its limit, 0 to 1; for a host that cannot ask.
+    /// Fraction of its requests that fits its limit, 0 to 1, for hosts that cannot ask the ledger.
     pub share: f64,
 }
 
-/// What a host's report tells of accounts, or the answer to it.
+/// Account part of a host's report, or of the answer to it.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct UseReport {
-    /// What the host let in by itself since its last report.
+    /// Usage that the host admitted without asking since its last report.
     pub uses: Vec<AccountUse>,
-    /// The accounts of which the zone's ledger is to be asked first; in answers, and none where it cannot say yet.
+    /// Accounts for which the zone's ledger must be asked first. Set in answers only, and none while the
+    /// ledger is warming up.
     pub near: Option<Vec<NearAccount>>,
 }
 
-/// What a ledger let in since it began.
+/// Totals of a ledger since its start.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct LedgerSums {
-    /// Drawn when it began.
+    /// Random id, drawn when the ledger started.
     pub id: u64,
-    /// How long ago that was.
+    /// Age of the ledger.
     pub age: Duration,
     /// The availability zone of its host.
     pub zone: FastStr,
-    /// By account; an account that is not named has not changed lately.
+    /// Totals by account. An omitted account has not changed lately.
     pub uses: Vec<AccountUse>,
 }
