--- a/src/route/choose.rs
+++ b/src/route/choose.rs
@@ -1,4 +1,4 @@
-//! Choosing one engine among several, by policy.
+//! Ranking of candidate engines by policy.
 
 use {
     super::{
@@ -10,21 +10,21 @@
     std::time::Duration,
 };
 
-/// Engines named in an explanation.
+/// Maximum number of engines listed in an explanation.
 const EXPLAINED_ENGINES: usize = 6;
 
-/// An engine among the candidates, and what it was weighed as; lower is better.
+/// Candidate engine with its score; lower is better.
 #[derive(Debug, Clone, Copy)]
 pub struct ScoredEngine<'a> {
     /// The engine.
     pub view: &'a EngineView,
-    /// Its score: seconds for `joint`, else the policy's own measure.
+    /// Score: seconds for `joint`, else the policy's own load measure.
     pub score: f64,
 }
 
-/// Scores candidates by a policy's measure and puts the best first.
+/// Scores candidates and sorts them, best first.
 ///
-/// Candidates are shuffled first, so that equals are taken in no fixed order.
+/// Candidates are shuffled first, so that ties are broken at random.
 pub fn rank<'a>(
     mut views: Vec<&'a EngineView>,
     random: &mut StdRng,
@@ -49,7 +49,7 @@
     }
 }
 
-/// The measure by which a baseline policy weighs a prefill engine.
+/// Load of a prefill engine as a baseline policy measures it.
 pub fn prefill_load(
     policy: RoutePolicy,
     view: &EngineView,
@@ -63,7 +63,7 @@
     }
 }
 
-/// The measure by which a baseline policy weighs a decode engine.
+/// Load of a decode engine as a baseline policy measures it.
 pub fn decode_load(policy: RoutePolicy, view: &EngineView) -> f64 {
     match policy {
         RoutePolicy::Random | RoutePolicy::RoundRobin => 0.0,
@@ -72,7 +72,7 @@
     }
 }
 
-/// Predicted time from now until an engine has computed a prompt.
+/// Predicts the time until an engine has computed a prompt.
 pub fn predict_prefill(
     view: &EngineView,
     tokens: u64,
@@ -85,13 +85,13 @@
     Duration::from_secs_f64((ahead + missing) as f64 / view.rate(tuning))
 }
 
-/// Predicted time of the transfer of a prompt's KV cache.
+/// Predicts the transfer time of a prompt's KV cache.
 pub fn predict_transfer(view: &EngineView, tokens: u64, tuning: &RouteTuning) -> Duration {
     let bytes = tokens as f64 * view.kv_per_token(tuning);
     Duration::from_secs_f64(bytes / tuning.link_rate)
 }
 
-/// The ranked engines, as an explanation shows them.
+/// Converts the best of the ranked engines to entries of an explanation.
 pub fn weighed(
     ranked: &[ScoredEngine<'_>],
     known: impl Fn(&EngineView) -> String,
--- a/src/route/desk.rs
+++ b/src/route/desk.rs
@@ -1,6 +1,6 @@
-//! Where requests wait for engines and are given them, or are refused in time.
+//! Scheduler that assigns engines to waiting requests, or refuses them early.
 //!
-//! A plain state machine: requests, reports and the time go in, answers come out.
+//! A plain state machine: its inputs are requests, load reports and the time; its outputs are answers.
 
 use {
     super::{
@@ -19,32 +19,32 @@
     std::{collections::BTreeMap, sync::Arc, time::Duration},
 };
 
-/// Requests that found no room in a row, after which those behind them are not tried: a full
-/// queue must not cost a search of all engines for each of its members.
+/// Number of waiting requests without capacity after which later ones are not tried, so that a full queue
+/// does not cost a search of all engines for each entry.
 const BLOCKED_MAX: usize = 6;
 
-/// Longest wait that a refused caller is told.
+/// Upper bound of the retry delay sent to a refused caller.
 const RETRY_AFTER_MAX: Duration = Duration::from_secs(30);
 
-/// Where requests wait for engines.
+/// Assigns engines to waiting requests.
 #[derive(Debug)]
 pub struct PlaceDesk {
     pub(super) tuning: RouteTuning,
     pub(super) zone: FastStr,
     pub(super) views: BTreeMap<FastStr, EngineView>,
-    // Engines that this host does not choose and may still have to speak with.
+    // Links to engines that this host does not schedule but may still have to contact.
     pub(super) others: BTreeMap<FastStr, Arc<EngineLink>>,
     pub(super) waiting: Vec<PlaceRequest>,
     pub(super) log: DecisionLog,
     pub(super) random: StdRng,
     pub(super) turn: usize,
-    // Mean time between two placements while requests wait, seconds.
+    // Mean time between two placements while requests wait, in seconds.
     pub(super) drain_gap: Option<f64>,
     pub(super) last_placed: Option<Duration>,
 }
 
 impl PlaceDesk {
-    /// A desk of a host in `zone`; the seed makes its random choices repeatable.
+    /// Creates the scheduler of a host in `zone`. The seed makes its random choices reproducible.
     pub fn new(zone: FastStr, tuning: RouteTuning, seed: u64) -> Self {
         Self {
             tuning,
@@ -60,12 +60,12 @@
         }
     }
 
-    /// The numbers in use.
+    /// Returns the tuning parameters in use.
     pub fn tuning(&self) -> &RouteTuning {
         &self.tuning
     }
 
-    /// Takes the engines that there are; what is known of those that stay is kept.
+    /// Replaces the list of engines and keeps the state of those that remain.
     pub fn set_engines(&mut self, engines: Vec<(EngineInfo, bool)>) {
         let mut known = std::mem::take(&mut self.views);
         for (info, leaving) in engines {
@@ -77,7 +77,7 @@
             view.leaving = leaving;
             self.views.insert(view.info.name.clone(), view);
         }
-        // An engine that is gone from the list while work is there still has to be counted.
+        // An engine that is no longer listed stays known while this host has work there.
         for (name, mut view) in known {
             if view.own_work() != (0, 0) {
                 view.leaving = true;
@@ -86,12 +86,12 @@
         }
     }
 
-    /// Takes the links to engines that this host does not choose.
+    /// Sets the links to engines that this host does not schedule.
     pub fn set_others(&mut self, others: BTreeMap<FastStr, Arc<EngineLink>>) {
         self.others = others;
     }
 
-    /// The link to an engine, chosen here or not; none when it is not listed.
+    /// Returns the link to an engine, whether scheduled by this host or not. None if it is not listed.
     pub fn link(&self, engine: &str) -> Option<Arc<EngineLink>> {
         match self.views.get(engine) {
             Some(view) => Some(view.info.link.clone()),
@@ -99,25 +99,25 @@
         }
     }
 
-    /// An attempt of another host is read here from now on.
+    /// Records that this host has taken over a decode from another host.
     pub fn decode_adopted(&mut self, engine: &str) {
         if let Some(view) = self.views.get_mut(engine) {
             view.decode_began();
         }
     }
 
-    /// What is known of an engine.
+    /// Returns the state of an engine.
     pub fn view(&self, engine: &str) -> Option<&EngineView> {
         self.views.get(engine)
     }
 
-    /// What is known of all engines.
+    /// Returns the states of all engines.
     pub fn views(&self) -> impl Iterator<Item = &EngineView> {
         self.views.values()
     }
 
-    /// The engines whose news is older than `period`, the oldest first: at most `most`, and all
-    /// that were never heard of.
+    /// Engines whose last report is older than `period`, the oldest first: at most `most`, but always all
+    /// that never reported.
     pub fn stale_engines(&self, period: Duration, most: usize, now: Duration) -> Vec<&EngineView> {
         let mut stale: Vec<&EngineView> = self
             .views
@@ -134,32 +134,32 @@
         stale
     }
 
-    /// The decisions made for a request.
+    /// Returns the decisions made for a request.
     pub fn explain(&self, request: &str) -> Vec<DecisionRecord> {
         self.log.of(request)
     }
 
-    /// The decisions made for the newest request.
+    /// Returns the decisions made for the latest request.
     pub fn latest(&self) -> Vec<DecisionRecord> {
         self.log.latest()
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Adds a request; its answer comes from [`Self::pump`].
+    /// Adds a request; [`Self::pump`] returns its answer.
     pub fn ask(&mut self, request: PlaceRequest) {
         self.waiting.push(request);
     }
 
-    /// Forgets a request that no longer wants an answer.
+    /// Removes a request whose caller no longer waits.
     pub fn withdraw(&mut self, ticket: u64) {
         self.waiting.retain(|request| request.ticket != ticket);
     }
 
-    /// Answers every waiting request that can be answered now, the least slack first.
+    /// Answers every waiting request that can be answered now, in the order of urgency.
     pub fn pump(&mut self, now: Duration) -> Vec<(u64, DeskAnswer)> {
         let mut waiting = std::mem::take(&mut self.waiting);
         waiting.sort_by_key(|request| (self.urgency(request), request.ticket));
@@ -207,8 +207,9 @@
         ahead: usize,
         now: Duration,
     ) -> Option<DeskAnswer> {
-        // What is late here may have room elsewhere at once; it does not wait for room elsewhere, since
-        // the other zones' engines are known less well (docs/performance.md).
+        // A request that would be late in one zone may be placed in another at once, but does not wait for
+        // capacity there, since the state of engines in other zones is known less accurately
+        // (docs/performance.md).
         let mut late = None;
         for zone in self.zones_to_try() {
             match self.place(request, zone, now) {
@@ -227,7 +228,7 @@
         self.answer_queued(request, ahead, now)
     }
 
-    // Whether a request that waits behind `ahead` others has waited, or will wait, too long.
+    // Refuses a request behind `ahead` others if it has waited, or is expected to wait, too long.
     fn answer_queued(
         &mut self,
         request: &PlaceRequest,
@@ -250,7 +251,7 @@
         self.refuse(request, RefusalCode::Overloaded, text, now)
     }
 
-    // Own zone first; then any.
+    // The own zone first, then all zones.
     fn zones_to_try(&self) -> [Option<FastStr>; 2] {
         [Some(self.zone.clone()), None]
     }
--- a/src/route/explain.rs
+++ b/src/route/explain.rs
@@ -1,4 +1,4 @@
-//! Why a request went where it went, kept for `bayplank explain`.
+//! Log of routing decisions, for `bayplank explain`.
 
 use {
     faststr::FastStr,
@@ -6,36 +6,36 @@
     std::collections::VecDeque,
 };
 
-/// Requests whose decisions a host remembers.
+/// Maximum number of decisions that a host keeps.
 pub const EXPLAINED_REQUESTS: usize = 2_048;
 
-/// One engine that was weighed.
+/// Candidate engine of a decision.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WeighedEngine {
-    /// The engine.
+    /// Name of the engine.
     pub engine: FastStr,
-    /// What was predicted of it, milliseconds.
+    /// Predicted time, in milliseconds.
     pub predicted_ms: f64,
-    /// What was known, for people.
+    /// Known state, as readable text.
     pub known: String,
 }
 
-/// One decision about a request.
+/// Decision about a request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DecisionRecord {
-    /// The request.
+    /// Id of the request.
     pub request: FastStr,
-    /// When, milliseconds since the request arrived.
+    /// Time since the request's arrival, in milliseconds.
     pub at_ms: f64,
-    /// What was decided, for people.
+    /// Decision, as readable text.
     pub decision: String,
-    /// Prefill engines that were weighed, best first.
+    /// Candidate prefill engines, best first.
     pub prefills: Vec<WeighedEngine>,
-    /// Decode engines that were weighed, best first.
+    /// Candidate decode engines, best first.
     pub decodes: Vec<WeighedEngine>,
 }
 
-/// The latest decisions; the oldest are forgotten first.
+/// The latest decisions; the oldest are dropped first.
 #[derive(Debug, Default)]
 pub struct DecisionLog {
     records: VecDeque<DecisionRecord>,
@@ -50,7 +50,7 @@
         self.records.push_back(record);
     }
 
-    /// All that is remembered of the request that was decided on last.
+    /// Returns the decisions on the request of the latest decision.
     pub fn latest(&self) -> Vec<DecisionRecord> {
         match self.records.back() {
             Some(record) => self.of(&record.request),
@@ -58,7 +58,7 @@
         }
     }
 
-    /// All that is remembered of a request, in order.
+    /// Returns the decisions on a request, in order.
     pub fn of(&self, request: &str) -> Vec<DecisionRecord> {
         self.records
             .iter()
--- a/src/route/mod.rs
+++ b/src/route/mod.rs
@@ -1,4 +1,4 @@
-//! Decisions: which engines serve a request, when, and why.
+//! Routing decisions: which engines serve a request, when, and why.
 
 mod choose;
 mod desk;
--- a/src/route/observe.rs
+++ b/src/route/observe.rs
@@ -1,4 +1,4 @@
-//! What engines showed, noted at the desk.
+//! Updates of the scheduler's engine states from reports, results and failures.
 
 use {
     super::desk::PlaceDesk,
@@ -6,42 +6,42 @@
     std::time::Duration,
 };
 
-/// How long an engine that refused as full is passed over.
+/// How long an engine that refused as full is avoided.
 const FULL_TIME: Duration = Duration::from_millis(40);
 
-/// Failures in a row after which an engine is taken out.
+/// Consecutive failures after which an engine is ejected.
 const FAILURES_TO_EJECT: u32 = 2;
 
 impl PlaceDesk {
-    /// Takes a load report of an engine.
+    /// Stores a load report of an engine.
     pub fn reported(&mut self, engine: &str, report: LoadReport, now: Duration) {
         if let Some(view) = self.views.get_mut(engine) {
             view.reported(report, now);
         }
     }
 
-    /// An engine was asked for a report and gave none.
+    /// Records that a request for a load report failed.
     pub fn asked(&mut self, engine: &str, now: Duration) {
         if let Some(view) = self.views.get_mut(engine) {
             view.asked(now);
         }
     }
 
-    /// Another host says that an engine leaves.
+    /// Records that another host reported an engine as leaving; valid until `until`.
     pub fn heard_leaving(&mut self, engine: &str, until: Duration) {
         if let Some(view) = self.views.get_mut(engine) {
             view.heard_leaving(until);
         }
     }
 
-    /// Something outside says that the engine leaves, or stays.
+    /// Records whether the engine is leaving, as stated by an outside source.
     pub fn set_leaving(&mut self, engine: &str, leaving: bool) {
         if let Some(view) = self.views.get_mut(engine) {
             view.leaving = leaving;
         }
     }
 
-    /// A prefill of `tokens` ended, with or without a result.
+    /// Records that a prefill of `tokens` ended, with or without a result.
     pub fn prefill_ended(
         &mut self,
         engine: &str,
@@ -58,28 +58,29 @@
         }
     }
 
-    /// A decode slot is free, or was never taken.
+    /// Records that a decode slot was released or not used.
     pub fn decode_ended(&mut self, engine: &str) {
         if let Some(view) = self.views.get_mut(engine) {
             view.decode_ended();
         }
     }
 
-    /// Two tokens came this far apart, seconds.
+    /// Records the gap between two tokens, in seconds.
     pub fn gap_observed(&mut self, engine: &str, gap: f64, now: Duration) {
         if let Some(view) = self.views.get_mut(engine) {
             view.gap_observed(gap, now);
         }
     }
 
-    /// An engine refused as full.
+    /// Records that an engine refused a request as full.
     pub fn refused_full(&mut self, engine: &str, now: Duration) {
         if let Some(view) = self.views.get_mut(engine) {
             view.refused_full(now + FULL_TIME);
         }
     }
 
-    /// A call to an engine failed; it is taken out after some in a row, unless too many are out.
+    /// Records a failed call. Ejects the engine after several consecutive failures, unless too many engines
+    /// are ejected already. Returns whether it was ejected.
     pub fn failed(&mut self, engine: &str, now: Duration) -> bool {
         let out = self.views.values().filter(|view| view.is_out(now)).count();
         let most = (self.views.len() as f64 * self.tuning.eject_share) as usize;
--- a/src/route/place.rs
+++ b/src/route/place.rs
@@ -1,4 +1,4 @@
-//! What requests ask of the desk, and what it answers.
+//! Requests to the engine scheduler, and its answers.
 
 use {
     crate::{object, operation::Refusal},
@@ -6,63 +6,63 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// A request that wants engines.
+/// Request for engines.
 #[derive(Debug, Clone)]
 pub struct PlaceRequest {
-    /// Number of this question, unique at the desk.
+    /// Number of this request, unique within the scheduler.
     pub ticket: u64,
-    /// The request's id, for explanations.
+    /// Id of the client request, for explanations.
     pub request: FastStr,
-    /// Its model.
+    /// Name of the model.
     pub model: FastStr,
-    /// The prefill pools' selectors.
+    /// Selectors of the prefill pools.
     pub prefills: Arc<[object::LabelSelector]>,
-    /// The decode pools' selectors.
+    /// Selectors of the decode pools.
     pub decodes: Arc<[object::LabelSelector]>,
-    /// Tokens of the prompt and of what was delivered.
+    /// Tokens of the prompt and of the output delivered so far.
     pub tokens: u64,
-    /// The prompt's block hashes.
+    /// Hashes of the prompt's blocks.
     pub blocks: Arc<[u64]>,
-    /// Larger is more urgent.
+    /// Priority; larger is more urgent.
     pub priority: u8,
-    /// When the request arrived.
+    /// Arrival time of the request.
     pub arrived: Duration,
-    /// Tokens were delivered before, so that the first-token target does not apply.
+    /// Whether tokens were delivered before, so that the first-token target does not apply.
     pub resumed: bool,
-    /// Engines that this request has tried in vain.
+    /// Engines on which this request has failed.
     pub excluded: Vec<FastStr>,
-    /// What is wanted.
+    /// Engines that are needed.
     pub stage: PlaceStage,
 }
 
-/// What a request wants from the desk.
+/// Engines that a request needs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlaceStage {
     /// A prefill and a decode engine.
     Whole,
-    /// A decode engine, while the KV cache lives until then.
+    /// A decode engine, by the given time at which the KV cache expires.
     DecodeOnly(Duration),
 }
 
-/// The desk's answer to a [`PlaceRequest`].
+/// Answer to a [`PlaceRequest`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DeskAnswer {
-    /// The engines; their load is counted from now.
+    /// The chosen engines, which count the request's load from now on.
     Placed {
-        /// Prefill engine, if one was wanted.
+        /// Prefill engine, if one was needed.
         prefill: Option<FastStr>,
         /// Decode engine.
         decode: FastStr,
     },
-    /// None, and none will come in time.
+    /// No engine will be available in time.
     Refused(Refusal),
 }
 
-/// What became of a try to place a request.
+/// Result of one placement attempt.
 pub(super) enum Placement {
     Placed(DeskAnswer),
-    // Engines are there and have no room now.
+    // No engine has capacity now.
     Blocked,
-    // Even the best engine would be this late.
+    // The best engine would deliver the first token this much too late.
     Late(Duration),
 }
--- a/src/route/policy.rs
+++ b/src/route/policy.rs
@@ -1,19 +1,19 @@
-//! The policies that can be chosen, and what they are tuned by.
+//! Routing policies and their tuning parameters.
 
 use std::{fmt, str::FromStr, time::Duration};
 
 /// How engines are chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RoutePolicy {
-    /// Any engine of the pool.
+    /// A random engine of the pool.
     Random,
     /// The pool's engines in turn.
     RoundRobin,
     /// The engine whose last report shows the least load.
     LeastLoaded,
-    /// This project's first version: the report and what this host sent since.
+    /// The load in the last report plus the requests that this host has sent since.
     Thin,
-    /// Prefill and decode chosen together, queueing here, refusing early.
+    /// Prefill and decode engines are chosen together; requests queue at the host and are refused early.
     Joint,
 }
 
@@ -27,7 +27,7 @@
         Self::Joint,
     ];
 
-    /// The policy's name in settings and tables.
+    /// Name of the policy in settings and tables.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Random => "random",
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Whether requests wait at the host until engines have room, and are refused early.
+    /// Whether requests queue at the host until engines have capacity, and are refused early.
     pub fn queues_here(self) -> bool {
         self == Self::Joint
     }
@@ -65,34 +65,34 @@
     }
 }
 
-/// Numbers that the decisions use.
+/// Tuning parameters of routing decisions.
 #[derive(Debug, Clone)]
 pub struct RouteTuning {
     /// How engines are chosen.
     pub policy: RoutePolicy,
-    /// First-token target.
+    /// Target time to first token.
     pub first_token: Duration,
-    /// Between-token target.
+    /// Target time between tokens.
     pub between_tokens: Duration,
-    /// Part of the first-token target that predictions leave unused.
+    /// Part of the first-token target kept as a margin for prediction errors.
     pub margin: Duration,
-    /// Work that a prefill engine may have waiting before requests wait here instead.
+    /// Backlog of a prefill engine above which requests wait at the host instead.
     pub prefill_backlog: Duration,
-    /// Prompt tokens a second that an engine computes, before it has been observed.
+    /// Prefill rate in tokens per second, assumed until it has been measured.
     pub prefill_rate: f64,
-    /// Bytes of KV cache a token, before it has been observed.
+    /// KV cache size in bytes per token, assumed until it has been measured.
     pub kv_bytes_per_token: f64,
-    /// Bytes a second of an engine's link.
+    /// Bandwidth of an engine's link, in bytes per second.
     pub link_rate: f64,
-    /// Share of the decode slots left free for what the other hosts send meanwhile.
+    /// Fraction of the decode slots left free for requests that other hosts send meanwhile.
     pub decode_reserve: f64,
-    /// How long an engine stays out after it failed.
+    /// How long an engine stays ejected after failures.
     pub eject_time: Duration,
-    /// Share of a pool that may be out at once.
+    /// Fraction of the engines that may be ejected at once.
     pub eject_share: f64,
-    /// An engine this many times slower than its pool's median is an outlier.
+    /// An engine slower than the median of its pool by this factor is an outlier.
     pub outlier_factor: f64,
-    /// Blocks of prompts remembered for each engine.
+    /// Number of prompt blocks remembered per engine.
     pub prefix_blocks: usize,
 }
 
--- a/src/route/rank.rs
+++ b/src/route/rank.rs
@@ -1,4 +1,5 @@
-//! What the desk knows when it decides: who could take a request, who best, and how late it would be.
+//! Inputs of a scheduling decision: the candidate engines, their ranking, and how late the first token would
+//! be.
 
 use {
     super::{
@@ -14,22 +15,23 @@
     std::time::Duration,
 };
 
-/// Bound on predicted times, seconds.
+/// Upper bound of predicted times, in seconds.
 const MAX_PREDICTION: f64 = 3_600.0;
 
 impl PlaceDesk {
-    // Whether a prefill and a decode engine of any pool have room: a cheap look before a search.
+    // Whether any prefill and any decode engine have capacity, regardless of pools. A cheap check before a
+    // full search.
     pub(super) fn has_any_room(&self, now: Duration) -> bool {
         let mut views = self.views.values();
         let prefill =
             views.any(|view| view.may_be(EngineRole::Prefill) && self.has_room(view, now));
         let mut views = self.views.values();
         let decode = views.any(|view| view.may_be(EngineRole::Decode) && self.has_slot(view));
-        // Without engines that could ever take it, a request is told so by the search.
+        // If all engines are ejected, the full search produces the refusal.
         (prefill && decode) || self.views.values().all(|view| view.is_out(now))
     }
 
-    // Time until the least busy prefill engine is free, seconds.
+    // Time until the least busy prefill engine is idle, in seconds.
     pub(super) fn least_backlog(&self, now: Duration) -> f64 {
         let views = self.views.values();
         let times = views
@@ -38,7 +40,7 @@
         times.reduce(f64::min).unwrap_or(0.0).min(MAX_PREDICTION)
     }
 
-    // What was computed already goes first, then higher priority, then less slack.
+    // Sort key of waiting requests: those with computed work first, then by priority, then by least slack.
     pub(super) fn urgency(&self, request: &PlaceRequest) -> (u8, u8, Duration) {
         let stage = match request.stage {
             PlaceStage::DecodeOnly(_) => 0,
@@ -50,27 +52,28 @@
         (stage, u8::MAX - request.priority, slack)
     }
 
-    // Time that the request takes if nothing stands before it.
+    // Time that the request takes without queueing.
     pub(super) fn service_time(&self, request: &PlaceRequest) -> Duration {
         let compute = request.tokens as f64 / self.tuning.prefill_rate;
         Duration::from_secs_f64(compute) + self.after_prefill(request)
     }
 
-    // From the end of the prefill to the first token: the transfer and a decode step.
+    // Time from the end of the prefill to the first token: the transfer and one decode step.
     pub(super) fn after_prefill(&self, request: &PlaceRequest) -> Duration {
         let bytes = request.tokens as f64 * self.tuning.kv_bytes_per_token;
         let transfer = Duration::from_secs_f64(bytes / self.tuning.link_rate);
         transfer + self.tuning.between_tokens
     }
 
-    // A prompt too long for the target is still served: it has its own time over again.
+    // Time by which the first token is due. A prompt too long for the target is still served: it gets 1.5
+    // times its own service time.
     pub(super) fn first_token_by(&self, request: &PlaceRequest) -> Duration {
         let target = self.tuning.first_token - self.tuning.margin;
         let own = self.service_time(request).mul_f64(1.5);
         request.arrived + target.max(own)
     }
 
-    // By how much the first token would miss its time, if it would.
+    // How much too late the first token would come, or none if it would be in time.
     pub(super) fn lateness(
         &self,
         request: &PlaceRequest,
@@ -87,7 +90,7 @@
             .filter(|late| !late.is_zero())
     }
 
-    // Whether a prefill would start soon enough there for waiting here to gain nothing.
+    // Whether the engine's backlog is short enough that waiting here would gain nothing.
     pub(super) fn has_room(&self, view: &EngineView, now: Duration) -> bool {
         let ahead = view.backlog_tokens(&self.tuning, now) as f64 / view.rate(&self.tuning);
         ahead <= self.tuning.prefill_backlog.as_secs_f64() && !view.is_full(now)
@@ -127,7 +130,7 @@
             .all(|role| !self.candidates(request, role, None, now).is_empty())
     }
 
-    /// The engines of a role that could take a request, best first by the policy.
+    /// Engines of a role that could serve a request, best first by the policy.
     pub(super) fn rank_engines<'a>(
         &'a self,
         request: &'a PlaceRequest,
@@ -146,7 +149,8 @@
         })
     }
 
-    // Time until the prompt is computed; one that said it is full comes after all others.
+    // Score of a prefill engine for `joint`: the predicted time until the prompt is computed. An engine that
+    // refused as full gets a penalty of 1 s.
     fn prefill_score(&self, request: &PlaceRequest, view: &EngineView, now: Duration) -> f64 {
         let policy = self.tuning.policy;
         if policy != RoutePolicy::Joint {
@@ -158,7 +162,7 @@
         time.as_secs_f64() + full
     }
 
-    // Use of its slots; one that is slow or full comes after all others.
+    // Score of a decode engine for `joint`: its slot utilization. A slow or full engine gets a penalty of 1.
     fn decode_score(&self, view: &EngineView, now: Duration) -> f64 {
         let policy = self.tuning.policy;
         if policy != RoutePolicy::Joint {
--- a/src/route/server_states.rs
+++ b/src/route/server_states.rs
@@ -1,8 +1,8 @@
-//! What answers of plain services' servers say about them, on the product's own interface: how many calls a second they take
-//! from all hosts together, that they are leaving, that this host is to back off.
+//! Tracks what servers of plain services report in their responses through the product's own headers: their
+//! rate limit across all hosts, that they are leaving, and that this host should back off.
 //!
-//! Hosts of this interface do not allocate permits to each other: each takes an equal share of what a server names, by the
-//! number of hosts.
+//! Hosts do not allocate permits to each other here. Each host takes an equal share of a server's limit, by
+//! the number of hosts.
 
 use {
     super::servers::ServerInfo,
@@ -23,13 +23,14 @@
     },
 };
 
-/// What a server's answers say of it: the calls a second that it takes from all hosts together, and that it is leaving.
+/// Response headers in which a server reports its rate limit in calls per second across all hosts, and that
+/// it is leaving.
 pub const SERVER_HEADERS: ServerHeaders = ServerHeaders {
     limit: HeaderName::from_static("bayplank-server-limit"),
     leaving: HeaderName::from_static("bayplank-server-leaving"),
 };
 
-// All calls of this interface are alike urgent.
+// All calls have the same priority here.
 const RANK: u8 = 0;
 
 #[derive(Debug)]
@@ -39,7 +40,7 @@
     availability: AvailabilityBook,
 }
 
-/// Which servers are rate-limited, leaving or waiting for a backoff to end, and this host's permits.
+/// Rate limits, availability and backoffs of servers, and the permits of this host.
 #[derive(Debug)]
 pub struct ServerStates {
     known: Mutex<KnownStates>,
@@ -47,7 +48,7 @@
 }
 
 impl ServerStates {
-    /// Nothing is known yet.
+    /// Creates an empty state.
     pub fn new(host: &str, clock: HostClock) -> Self {
         let known = KnownStates {
             limits: LimitBook::new(host),
@@ -64,12 +65,12 @@
         self.known.lock().expect("server states")
     }
 
-    /// Time on the clock that sends are noted by.
+    /// Current time on the clock of the send times.
     pub fn now(&self) -> Duration {
         self.clock.now()
     }
 
-    /// Takes what an answer says of its server; the call was sent at `sent`.
+    /// Processes the headers of a response; its request was sent at `sent`.
     pub fn note(
         &self,
         server: &ServerInfo,
@@ -117,13 +118,13 @@
         }
     }
 
-    /// Whether a server takes new calls of this host, as far as its answers say.
+    /// Availability of a server for new calls of this host, as reported in its responses.
     pub fn availability(&self, server: &ServerInfo) -> ServerAvailability {
         let now = self.clock.now();
         self.known().availability.availability(&server.run(), now)
     }
 
-    /// Evicts what is no longer of use of servers that are not listed.
+    /// Evicts outdated state of servers that are not listed.
     pub fn evict_expired(&self, listed: &[ServerInfo]) {
         let now = self.clock.now();
         let runs: HashSet<ServerRun> = listed.iter().map(ServerInfo::run).collect();
@@ -137,7 +138,8 @@
         }
     }
 
-    /// Takes a permit at a server for one of so many hosts; otherwise when one is likely. A server without a limit takes all.
+    /// Takes a permit for a server whose limit is shared by `hosts` hosts, or returns when one is likely to
+    /// be available. A server without a limit accepts every call.
     pub fn take_permit(&self, server: &ServerInfo, hosts: usize) -> Result<(), Duration> {
         let now = self.clock.now();
         let server = key_of(server);
@@ -163,7 +165,7 @@
         }
     }
 
-    /// The limits that are believed of some servers, for operators: calls a second of all hosts.
+    /// Effective limits of some servers, in calls per second across all hosts, for operators.
     pub fn limits<'a>(&self, servers: impl Iterator<Item = &'a ServerInfo>) -> Vec<(FastStr, f64)> {
         let known = self.known();
         let limit = |server: &ServerInfo| {
@@ -174,7 +176,7 @@
     }
 }
 
-// The platform of this interface does not tell runs of a server under one name apart.
+// The platform does not distinguish runs of a server under the same name here.
 fn key_of(server: &ServerInfo) -> EngineKey {
     EngineKey::of(&server.name)
 }
--- a/src/route/servers.rs
+++ b/src/route/servers.rs
@@ -1,4 +1,4 @@
-//! Choosing a server of a plain service: the one with the fewest calls of this host in progress.
+//! Load balancing for plain services: the server with the fewest calls of this host in progress is selected.
 
 use {
     crate::{object, relay::ServerRun},
@@ -13,32 +13,32 @@
     tokio::time::Instant,
 };
 
-/// How long a server that could not be reached is passed over while others can.
+/// How long an unreachable server is avoided while others are available.
 const AVOID_TIME: Duration = Duration::from_secs(2);
 
-/// Who a server is.
+/// Identity and address of a server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServerInfo {
-    /// Its name.
+    /// Name.
     pub name: FastStr,
-    /// Its address.
+    /// Address.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: FastStr,
-    /// Its labels.
+    /// Labels.
     pub labels: object::LabelMap,
-    /// It wants no new work.
+    /// Whether the server is leaving and takes no new requests.
     pub leaving: bool,
 }
 
 impl ServerInfo {
-    /// Whether one of the selectors picks it.
+    /// Whether one of the selectors matches the server.
     pub fn is_picked_by(&self, selectors: &[object::LabelSelector]) -> bool {
         let mut selectors = selectors.iter();
         selectors.any(|selector| selector.matches(&self.labels))
     }
 
-    /// Its run as far as it can be told from others: by its name and address.
+    /// Identifies the server's run by name and address, as nothing else distinguishes runs here.
     pub fn run(&self) -> ServerRun {
         ServerRun {
             id: self.name.clone(),
@@ -55,14 +55,14 @@
     avoid_until: Option<Instant>,
 }
 
-/// The servers of plain services.
+/// Known servers of plain services.
 #[derive(Debug, Default)]
 pub struct ServerBook {
     views: Mutex<BTreeMap<FastStr, ServerView>>,
 }
 
 impl ServerBook {
-    /// Takes the servers that there are.
+    /// Replaces the list of servers and keeps the state of those that remain.
     pub fn set_servers(&self, servers: Vec<ServerInfo>) {
         let mut views = self.views.lock().expect("server book");
         let mut known = std::mem::take(&mut *views);
@@ -81,8 +81,9 @@
         }
     }
 
-    /// A server that one of the selectors picks, that is in rotation and was not tried yet: of this zone if it can
-    /// be, reachable if it can be, least busy, at random among equals.
+    /// Selects a server that matches one of the selectors, is in rotation and has not been tried yet. Prefers
+    /// reachable servers, then those in this zone, then those with the fewest calls; ties are broken at
+    /// random.
     pub fn choose(
         self: &Arc<Self>,
         selectors: &[object::LabelSelector],
@@ -109,7 +110,7 @@
         })
     }
 
-    /// All servers.
+    /// Returns all servers.
     pub fn servers(&self) -> Vec<ServerInfo> {
         let views = self.views.lock().expect("server book");
         views.values().map(|view| view.info.clone()).collect()
@@ -130,7 +131,7 @@
     }
 }
 
-/// A chosen server; counted as busy until dropped.
+/// Selected server; its call counts as in progress until this is dropped.
 #[derive(Debug)]
 pub struct ServerChoice {
     book: Arc<ServerBook>,
@@ -139,17 +140,17 @@
 }
 
 impl ServerChoice {
-    /// The server's name.
+    /// Returns the server's name.
     pub fn name(&self) -> FastStr {
         self.info.name.clone()
     }
 
-    /// The server's address.
+    /// Returns the server's address.
     pub fn address(&self) -> SocketAddr {
         self.info.address
     }
 
-    /// A call to it failed.
+    /// Records that a call to the server failed.
     pub fn failed(&self) {
         self.book.avoid(&self.info.name);
     }
--- a/src/route/shared.rs
+++ b/src/route/shared.rs
@@ -1,4 +1,4 @@
-//! The desk as tasks share it: they ask and wait, a pump answers.
+//! Scheduler shared by tasks, which wait for its answers. A background task retries waiting requests.
 
 use {
     super::{
@@ -22,10 +22,10 @@
     tokio::sync::{Notify, oneshot},
 };
 
-/// How often waiting requests are looked at when nothing else happens.
+/// Interval at which waiting requests are retried without any other event.
 const PUMP_PERIOD: Duration = Duration::from_millis(10);
 
-/// A [`PlaceDesk`] that tasks share.
+/// A [`PlaceDesk`] shared by tasks.
 #[derive(Debug)]
 pub struct SharedDesk {
     inner: Mutex<DeskInner>,
@@ -41,7 +41,7 @@
 }
 
 impl SharedDesk {
-    /// A desk of a host in `zone`.
+    /// Creates the scheduler of a host in `zone`.
     pub fn new(zone: FastStr, tuning: RouteTuning, seed: u64, clock: HostClock) -> Arc<Self> {
         Arc::new(Self {
             inner: Mutex::new(DeskInner {
@@ -54,20 +54,20 @@
         })
     }
 
-    /// Time since the desk was made; all its times are on this clock.
+    /// Current time on the scheduler's clock, which all its times refer to.
     pub fn now(&self) -> Duration {
         self.clock.now()
     }
 
-    /// Reads the desk.
+    /// Reads the scheduler's state.
     pub fn read<R>(&self, read: impl FnOnce(&PlaceDesk) -> R) -> R {
         read(&self.inner.lock().expect("desk").desk)
     }
 
-    /// Changes the desk, then answers whom it can.
+    /// Changes the scheduler's state, then answers the waiting requests that it can.
     pub fn change<R>(&self, change: impl FnOnce(&mut PlaceDesk, Duration) -> R) -> R {
         let mut inner = self.inner.lock().expect("desk");
-        // Read under the lock, so that the desk's time never goes back.
+        // Read under the lock, so that the scheduler's time never goes backwards.
         let now = self.now();
         let result = change(&mut inner.desk, now);
         let answers = match inner.desk.waiting() {
@@ -80,14 +80,15 @@
         result
     }
 
-    /// Takes an observation that frees nothing, so that nobody's answer changes by it.
+    /// Records an observation that frees no capacity, so that no waiting request has to be retried.
     pub fn note(&self, note: impl FnOnce(&mut PlaceDesk, Duration)) {
         let mut inner = self.inner.lock().expect("desk");
         let now = self.now();
         note(&mut inner.desk, now);
     }
 
-    /// Waits for the desk's answer; a caller that stops waiting leaves nothing behind.
+    /// Waits for the answer to a request. If the caller stops waiting, the request is removed and its engines
+    /// are released.
     pub async fn ask(&self, mut request: PlaceRequest) -> DeskAnswer {
         let ticket = self.next_ticket.fetch_add(1, Ordering::Relaxed);
         request.ticket = ticket;
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Looks at the waiting requests from time to time, for as long as the host runs.
+    /// Retries the waiting requests periodically, for as long as the host runs.
     pub async fn run_pump(self: Arc<Self>) {
         loop {
             if self.read(PlaceDesk::waiting) == 0 {
@@ -141,12 +142,12 @@
 }
 
 impl DeskInner {
-    // Nobody may be waiting any more: OpenQuestion's drop has taken the sender out then.
+    // If the caller has stopped waiting, the drop of OpenQuestion has removed the sender.
     fn deliver(&mut self, ticket: u64, answer: DeskAnswer) {
         let sender = self.answers.remove(&ticket);
         debug_assert!(sender.is_some(), "a question is answered once");
         if let Some(sender) = sender {
-            // A receiver that is gone meanwhile finds the answer in its drop.
+            // If the receiver is being dropped, its drop handles the answer.
             let _ = sender.send(answer);
         }
     }
@@ -166,7 +167,7 @@
             inner.answers.remove(&self.ticket);
             inner.desk.withdraw(self.ticket);
         }
-        // An answer that was given and not read gives its places back.
+        // Release the engines of an answer that was never read.
         if let Ok(answer) = self.receiver.try_recv() {
             self.desk.undo(answer, self.tokens);
         }
--- a/src/route/tests.rs
+++ b/src/route/tests.rs
@@ -49,7 +49,7 @@
     }
 }
 
-// One prefill engine and two decode engines, the second one busier.
+// One prefill engine and two decode engines, the second with a higher load.
 fn desk() -> PlaceDesk {
     let mut desk = PlaceDesk::new(ZONE, RouteTuning::default(), 1);
     let engines = [("p", "prefill"), ("d1", "decode"), ("d2", "decode")];
@@ -131,7 +131,8 @@
     assert_eq!(code(&answers[0].1), Some(RefusalCode::NoBackend));
 }
 
-// Found by `bayplank load --streams 5000`: a clock read before the lock made time go back.
+// Guards against a scheduler whose time goes backwards, which happened under `bayplank load --streams 5000`
+// when the clock was read before the lock was taken.
 #[test]
 fn a_pump_with_an_earlier_time_than_the_last_does_no_harm() {
     let mut desk = desk();
--- a/src/route/view.rs
+++ b/src/route/view.rs
@@ -1,4 +1,5 @@
-//! What this host knows of one engine: its lagging reports, and what this host did to it since.
+//! State of one engine as this host knows it: the last load report, which lags, and the work that this host
+//! has sent since.
 
 use {
     super::policy::RouteTuning,
@@ -10,33 +11,33 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Share of a new observation in a running mean.
+/// Weight of a new sample in a moving average.
 const MEAN_WEIGHT: f64 = 0.2;
 
-/// How long an observed gap between tokens says something of the engine.
+/// How long a measured gap between tokens is valid.
 const GAP_LIFE: Duration = Duration::from_secs(3);
 
-/// Who an engine is and how it is reached.
+/// Identity and address of an engine.
 #[derive(Debug, Clone)]
 pub struct EngineInfo {
-    /// Its name.
+    /// Name.
     pub name: FastStr,
-    /// Its address, as other engines reach it.
+    /// Address at which other engines reach it.
     pub address: FastStr,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: FastStr,
-    /// Its labels, which pools select by.
+    /// Labels, by which pools select engines.
     pub labels: object::LabelMap,
-    /// The calls it answers.
+    /// Client for calls to the engine.
     pub link: Arc<EngineLink>,
 }
 
-/// What this host knows of one engine.
+/// State of one engine as this host knows it.
 #[derive(Debug)]
 pub struct EngineView {
-    /// Who it is.
+    /// Identity and address.
     pub info: EngineInfo,
-    /// The platform's list, the engine itself or an operator says that it is leaving.
+    /// Whether the platform, the engine itself or an operator says that the engine is leaving.
     pub leaving: bool,
     report: Option<LoadReport>,
     reported_at: Option<Duration>,
@@ -44,7 +45,7 @@
     own_prefill_tokens: u64,
     own_prefills: u32,
     own_decodes: u32,
-    // What of this host's own work the last report may have counted.
+    // This host's own work that the last report may include.
     own_tokens_reported: u64,
     own_decodes_reported: u32,
     rate: Option<f64>,
@@ -57,7 +58,7 @@
 }
 
 impl EngineView {
-    /// An engine of which nothing is known yet.
+    /// Creates the state of an engine that has not reported yet.
     pub fn new(info: EngineInfo, tuning: &RouteTuning) -> Self {
         Self {
             info,
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Takes a load report.
+    /// Stores a load report.
     pub fn reported(&mut self, report: LoadReport, now: Duration) {
         self.reported_at = Some(now);
         self.own_tokens_reported = self.own_prefill_tokens;
@@ -88,27 +89,27 @@
         self.report = Some(report);
     }
 
-    /// When it was last heard of, or asked in vain.
+    /// Time of the last report, or of the last failed request for one.
     pub fn reported_at(&self) -> Option<Duration> {
         self.reported_at
     }
 
-    /// It was asked for a report and gave none.
+    /// Records that a request for a report failed.
     pub fn asked(&mut self, now: Duration) {
         self.reported_at = Some(now);
     }
 
-    /// Another host says that the engine leaves.
+    /// Records that another host reported the engine as leaving; valid until `until`.
     pub fn heard_leaving(&mut self, until: Duration) {
         self.heard_leaving = until;
     }
 
-    /// Whether the engine itself says that it leaves.
+    /// Whether the engine itself reports that it is leaving.
     pub fn says_leaving(&self) -> bool {
         self.report.as_ref().is_some_and(|report| report.leaving)
     }
 
-    /// Whether the engine may be given new work of this role and model.
+    /// Whether new work of this role and model may be sent to the engine.
     pub fn is_usable(&self, role: EngineRole, model: &str, now: Duration) -> bool {
         let leaving = self.leaving || self.says_leaving() || now < self.heard_leaving;
         let fits = self.report.as_ref().is_none_or(|report| {
@@ -117,47 +118,47 @@
         !leaving && fits && now >= self.out_until
     }
 
-    /// Whether the engine has this role, as far as is known.
+    /// Whether the engine has this role or has not reported one yet.
     pub fn may_be(&self, role: EngineRole) -> bool {
         self.report
             .as_ref()
             .is_none_or(|report| report.role == role)
     }
 
-    /// Whether the engine is out for a while because it failed or is an outlier.
+    /// Whether the engine is ejected because of failures or as an outlier.
     pub fn is_out(&self, now: Duration) -> bool {
         now < self.out_until
     }
 
-    /// Takes the engine out until then.
+    /// Ejects the engine until `until`.
     pub fn eject(&mut self, until: Duration) {
         self.out_until = self.out_until.max(until);
     }
 
-    /// A call to it failed without an answer of its own; gives the failures in a row.
+    /// Records a call that failed without an answer and returns the number of consecutive failures.
     pub fn failed(&mut self) -> u32 {
         self.failures += 1;
         self.failures
     }
 
-    /// It refused because it is full.
+    /// Records that the engine refused a request as full.
     pub fn refused_full(&mut self, until: Duration) {
         self.full_until = until;
     }
 
-    /// Whether it said lately that it is full.
+    /// Whether the engine recently refused a request as full.
     pub fn is_full(&self, now: Duration) -> bool {
         now < self.full_until
     }
 
-    /// A prefill of `tokens` was sent.
+    /// Records that a prefill of `tokens` was sent.
     pub fn prefill_began(&mut self, tokens: u64, blocks: &[u64]) {
         self.own_prefill_tokens += tokens;
         self.own_prefills += 1;
         self.prefixes.admit(blocks);
     }
 
-    /// A prefill of `tokens` ended, with or without a result.
+    /// Records that a prefill of `tokens` ended, with or without a result.
     pub fn prefill_ended(&mut self, tokens: u64) {
         self.own_prefill_tokens -= tokens;
         self.own_prefills -= 1;
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Learns from a prefill's result.
+    /// Updates the prefill rate and the KV cache size per token from a prefill's result.
     pub fn prefill_observed(&mut self, reply: &engine::PrefillReply) {
         self.failures = 0;
         if reply.computed_tokens > 0 && reply.compute_ms > 0.0 {
@@ -178,12 +179,12 @@
         self.kv_per_token = Some(reply.kv_bytes as f64 / tokens);
     }
 
-    /// A decode slot is counted on from now.
+    /// Records that a decode slot is in use.
     pub fn decode_began(&mut self) {
         self.own_decodes += 1;
     }
 
-    /// A decode slot is free, or was never taken.
+    /// Records that a decode slot was released or not used.
     pub fn decode_ended(&mut self) {
         self.own_decodes = self.own_decodes.saturating_sub(1);
         self.own_decodes_reported = self.own_decodes_reported.saturating_sub(1);
@@ -193,26 +194,26 @@
         self.full_until = Duration::ZERO;
     }
 
-    /// Learns from the gap between two tokens, seconds.
+    /// Records the gap between two tokens, in seconds.
     pub fn gap_observed(&mut self, gap: f64, now: Duration) {
         self.failures = 0;
         let known = self.token_gap.map(|(gap, _)| gap);
         self.token_gap = Some((mean(known, gap), now));
     }
 
-    /// Running mean of the gap between tokens, seconds, if it was observed lately.
+    /// Moving average of the gap between tokens, in seconds, if measured recently.
     pub fn token_gap(&self, now: Duration) -> Option<f64> {
         let (gap, at) = self.token_gap?;
         (now < at + GAP_LIFE).then_some(gap)
     }
 
-    /// Prompt tokens a second that it computes.
+    /// Prefill rate in tokens per second.
     pub fn rate(&self, tuning: &RouteTuning) -> f64 {
         self.rate.unwrap_or(tuning.prefill_rate)
     }
 
-    /// Prompt tokens it has before it: this host's own as known, the others' as reported, less
-    /// what it has worked off since.
+    /// Queued prompt tokens: those of this host, plus those of other hosts as reported less what the engine
+    /// has computed since.
     pub fn backlog_tokens(&self, tuning: &RouteTuning, now: Duration) -> u64 {
         let reported = self.reported_tokens();
         let others = reported.saturating_sub(self.own_tokens_reported);
@@ -221,41 +222,41 @@
         others.saturating_sub(worked_off) + self.own_prefill_tokens
     }
 
-    /// Prompt tokens it had when it last reported.
+    /// Queued prompt tokens in the last report.
     pub fn reported_tokens(&self) -> u64 {
         self.report
             .as_ref()
             .map_or(0, |report| report.queued_tokens)
     }
 
-    /// Decode slots in use: the others' as reported, this host's own as known.
+    /// Decode slots in use: those of other hosts as reported plus those of this host.
     pub fn slots_used(&self) -> u32 {
         let reported = self.report.as_ref().map_or(0, |report| report.slots_used);
         let others = reported.saturating_sub(self.own_decodes_reported);
         others + self.own_decodes
     }
 
-    /// Decode slots that were in use when it last reported.
+    /// Decode slots in use in the last report.
     pub fn reported_slots(&self) -> u32 {
         self.report.as_ref().map_or(0, |report| report.slots_used)
     }
 
-    /// Decode slots in all, once it has reported.
+    /// Total number of decode slots, once the engine has reported.
     pub fn slots_total(&self) -> Option<u32> {
         self.report.as_ref().map(|report| report.slots_total)
     }
 
-    /// This host's own prefills and decodes there.
+    /// Prefills and decodes of this host on the engine.
     pub fn own_work(&self) -> (u32, u32) {
         (self.own_prefills, self.own_decodes)
     }
 
-    /// Tokens of the prompt that its prefix cache probably has.
+    /// Number of prompt tokens expected in the engine's prefix cache.
     pub fn cached_tokens(&self, blocks: &[u64]) -> u64 {
         self.prefixes.covered(blocks)
     }
 
-    /// Bytes of KV cache a token.
+    /// KV cache size in bytes per token.
     pub fn kv_per_token(&self, tuning: &RouteTuning) -> f64 {
         self.kv_per_token.unwrap_or(tuning.kv_bytes_per_token)
     }
