--- a/src/account/desk.rs
+++ b/src/account/admission.rs
@@ -9,17 +9,17 @@
 };
 
 /// Maximum age of the list of accounts near their limits. Reports are answered twice in that time.
-const NEAR_LIFE: Duration = Duration::from_millis(2_000);
+const NEAR_MAX_AGE: Duration = Duration::from_millis(2_000);
 
 /// How long a host uses estimates after the ledger failed to answer. By then it reports to another host.
-const SILENT_TIME: Duration = Duration::from_millis(400);
+const UNANSWERED_TIME: Duration = Duration::from_millis(400);
 
 /// Fraction of requests that a host admits without asking before any ledger has sent it a list of accounts.
 /// All hosts are briefly in that state after a loss of all hosts, when callers of interrupted requests retry
 /// at once. When all requests were admitted for 1.2 s, accounts at 7.5 times their usual demand reached 1.08
 /// of the tolerated usage; with this value the worst case stays below 1.0. With 0.65, one in 18 requests
 /// within the limits would be refused in the following nine seconds (tests/account_limits.rs).
-const UNTOLD_SHARE: f64 = 0.7;
+const INITIAL_SHARE: f64 = 0.7;
 
 /// How a request is admitted.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -33,7 +33,7 @@
 }
 
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-struct UntoldUse {
+struct UnreportedUse {
     asked: u32,
     taken: u32,
 }
@@ -41,35 +41,35 @@
 /// A host's data on account usage, by which it admits requests.
 #[derive(Debug, Default)]
 pub struct AllowanceDesk {
-    untold: BTreeMap<AccountKey, UntoldUse>,
+    unreported: BTreeMap<AccountKey, UnreportedUse>,
     near: BTreeMap<AccountKey, f64>,
-    near_told: Option<Duration>,
-    silent_until: Duration,
+    near_received: Option<Duration>,
+    unanswered_until: Duration,
 }
 
 impl AllowanceDesk {
     /// Decides how a request of an account is admitted.
     pub fn choose(&self, account: AccountKey, now: Duration) -> UseChoice {
-        let is_told = self
-            .near_told
-            .is_some_and(|at| now.saturating_sub(at) < NEAR_LIFE);
+        let has_list = self
+            .near_received
+            .is_some_and(|at| now.saturating_sub(at) < NEAR_MAX_AGE);
         let near = self.near.get(&account);
         match near {
-            None if is_told => UseChoice::Free,
-            _ if now < self.silent_until => UseChoice::Guess(self.guessed_share(account)),
+            None if has_list => UseChoice::Free,
+            _ if now < self.unanswered_until => UseChoice::Guess(self.guessed_share(account)),
             _ => UseChoice::Ask,
         }
     }
 
     /// Whether no ledger has sent this host a list of accounts yet.
     pub fn is_untold(&self) -> bool {
-        self.near_told.is_none()
+        self.near_received.is_none()
     }
 
     /// Fraction of an account's requests to admit when the ledger cannot be asked.
     pub fn guessed_share(&self, account: AccountKey) -> f64 {
         let usual = match self.is_untold() {
-            true => UNTOLD_SHARE,
+            true => INITIAL_SHARE,
             false => 1.0,
         };
         self.near.get(&account).copied().unwrap_or(usual)
@@ -77,33 +77,33 @@
 
     /// Records that the ledger did not answer.
     pub fn note_silent(&mut self, now: Duration) {
-        self.silent_until = now + SILENT_TIME;
+        self.unanswered_until = now + UNANSWERED_TIME;
     }
 
     /// Records a request of `units` that was admitted or refused without the ledger.
     pub fn note(&mut self, account: AccountKey, units: f64, is_let_in: bool) {
-        let untold = self.untold.entry(account).or_default();
+        let unreported = self.unreported.entry(account).or_default();
         let units = units.round() as u32;
-        untold.asked = untold.asked.wrapping_add(units);
+        unreported.asked = unreported.asked.wrapping_add(units);
         if is_let_in {
-            untold.taken = untold.taken.wrapping_add(units);
+            unreported.taken = unreported.taken.wrapping_add(units);
         }
     }
 
     /// Refunds an admitted request that certainly did not run.
     pub fn give_back(&mut self, account: AccountKey, units: f64) {
-        let untold = self.untold.entry(account).or_default();
-        untold.taken = untold.taken.wrapping_sub(units.round() as u32);
+        let unreported = self.unreported.entry(account).or_default();
+        unreported.taken = unreported.taken.wrapping_sub(units.round() as u32);
     }
 
     /// Takes the usage to report and marks it as reported.
     pub fn take_untold(&mut self) -> Vec<AccountUse> {
-        let untold = std::mem::take(&mut self.untold).into_iter();
-        untold
-            .map(|(account, use_)| AccountUse {
+        let unreported = std::mem::take(&mut self.unreported).into_iter();
+        unreported
+            .map(|(account, usage)| AccountUse {
                 account,
-                asked: use_.asked,
-                taken: use_.taken,
+                asked: usage.asked,
+                taken: usage.taken,
                 level: 0,
             })
             .collect()
@@ -112,9 +112,9 @@
     /// Restores usage whose report was not delivered, so that it is reported again.
     pub fn put_back(&mut self, uses: Vec<AccountUse>) {
         for used in uses {
-            let untold = self.untold.entry(used.account).or_default();
-            untold.asked = untold.asked.wrapping_add(used.asked);
-            untold.taken = untold.taken.wrapping_add(used.taken);
+            let unreported = self.unreported.entry(used.account).or_default();
+            unreported.asked = unreported.asked.wrapping_add(used.asked);
+            unreported.taken = unreported.taken.wrapping_add(used.taken);
         }
     }
 
@@ -122,8 +122,8 @@
     /// warm-up.
     pub fn set_near(&mut self, near: Option<&[NearAccount]>, now: Duration) {
         let Some(near) = near else { return };
-        let named = near.iter().map(|near| (near.account, near.share));
-        self.near = named.collect();
-        self.near_told = Some(now);
+        let shares = near.iter().map(|near| (near.account, near.share));
+        self.near = shares.collect();
+        self.near_received = Some(now);
     }
 }
--- a/src/account/bucket.rs
+++ b/src/account/bucket.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 /// Upper bound of the wait that a refused caller is told.
-const WAIT_LONGEST: Duration = Duration::from_secs(30);
+const MAX_WAIT: Duration = Duration::from_secs(30);
 
 /// Lower bound of the wait that a refused caller is told.
-const WAIT_LEAST: Duration = Duration::from_millis(1);
+const MIN_WAIT: Duration = Duration::from_millis(1);
 
 /// Drain rate and capacity of a bucket.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -24,7 +24,7 @@
     // Units used and not yet drained.
     level: f64,
     // The level plus the units of refused callers that were told when to retry.
-    promised: f64,
+    reserved: f64,
     // Time up to which the level is drained.
     drained: Duration,
 }
@@ -34,7 +34,7 @@
     pub fn filled(level: f64, now: Duration) -> Self {
         Self {
             level,
-            promised: level,
+            reserved: level,
             drained: now,
         }
     }
@@ -50,13 +50,13 @@
         self.drained = self.drained.max(now);
         let drained = passed * rate.max(0.0);
         self.level = (self.level - drained).max(0.0);
-        self.promised = (self.promised - drained).max(self.level);
+        self.reserved = (self.reserved - drained).max(self.level);
     }
 
     /// Adds used units, or subtracts refunded ones if negative.
     pub fn add(&mut self, units: f64) {
         self.level = (self.level + units).max(0.0);
-        self.promised = self.promised.max(self.level);
+        self.reserved = self.reserved.max(self.level);
     }
 
     /// Limits the level to `most` and drops the excess.
@@ -85,14 +85,14 @@
     /// at once and be refused again.
     pub fn turn_away(&mut self, units: f64, bounds: BucketRate) -> Duration {
         if bounds.rate <= 0.0 {
-            return WAIT_LONGEST;
+            return MAX_WAIT;
         }
-        let wait = (self.promised - bounds.burst) / bounds.rate;
-        let longest = WAIT_LONGEST.as_secs_f64();
+        let wait = (self.reserved - bounds.burst) / bounds.rate;
+        let longest = MAX_WAIT.as_secs_f64();
         if wait < longest {
-            self.promised += units;
+            self.reserved += units;
         }
         let wait = Duration::from_secs_f64(wait.clamp(0.0, longest));
-        wait.max(WAIT_LEAST)
+        wait.max(MIN_WAIT)
     }
 }
--- a/src/account/directory.rs
+++ b/src/account/directory.rs
@@ -19,24 +19,24 @@
     /// Builds the index. A key listed by two accounts grants no access, as its requests could not be
     /// attributed.
     pub fn new(accounts: &[ClientAccount]) -> Self {
-        let mut claims: HashMap<KeyHash, Option<Rc<ClientAccount>>> = HashMap::new();
+        let mut owners: HashMap<KeyHash, Option<Rc<ClientAccount>>> = HashMap::new();
         let mut by_name = HashMap::new();
         for account in accounts {
             let account = Rc::new(account.clone());
             by_name.insert(AccountKey::of(&account.name), account.clone());
             for key in &account.keys {
-                let claim = claims.entry(*key).or_insert_with(|| Some(account.clone()));
-                let is_other = claim
+                let owner = owners.entry(*key).or_insert_with(|| Some(account.clone()));
+                let is_other = owner
                     .as_ref()
                     .is_none_or(|holder| holder.name != account.name);
                 if is_other {
-                    *claim = None;
+                    *owner = None;
                 }
             }
         }
-        let claims = claims.into_iter();
+        let owners = owners.into_iter();
         Self {
-            by_key: claims
+            by_key: owners
                 .filter_map(|(key, account)| Some((key, account?)))
                 .collect(),
             by_name,
--- a/src/account/standing.rs
+++ b/src/account/key_status.rs
@@ -18,11 +18,11 @@
 
 /// How long a watch of the store may be silent before it is closed. A proof obtained from a watch may be off
 /// by as much.
-const DEAF_MARGIN: Duration = Duration::from_millis(1_000);
+const WATCH_MARGIN: Duration = Duration::from_millis(1_000);
 
 /// Fraction of the maximum proof age after which the proof is renewed. The rest has to last through an outage
 /// of the store.
-const RENEW_PART: f64 = 0.12;
+const RENEWAL_FRACTION: f64 = 0.12;
 
 /// Deadlines for key changes to take effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -38,12 +38,12 @@
     /// Maximum age of a proof that still admits requests.
     pub fn proof_life(&self) -> Option<Duration> {
         let time = self.revoke_time?.mul_f64(1.0 - CLOCK_MARGIN);
-        Some(time.saturating_sub(DEAF_MARGIN))
+        Some(time.saturating_sub(WATCH_MARGIN))
     }
 
     /// Interval at which a proof is renewed.
     pub fn renew_time(&self) -> Option<Duration> {
-        Some(self.proof_life()?.mul_f64(RENEW_PART))
+        Some(self.proof_life()?.mul_f64(RENEWAL_FRACTION))
     }
 }
 
--- a/src/account/ledger.rs
+++ b/src/account/ledger.rs
@@ -8,11 +8,11 @@
 
 use {
     super::{
-        account_book::{self, AccountBook, ReservedRate, UnheardZone},
+        account_usage::{self, AccountUsage, ReservedRate, UnreachableZone},
         bucket::{BucketRate, RateBucket},
         client_account::{AccountKey, AccountLimit},
         directory::AccountDirectory,
-        seen_ledger::SeenLedger,
+        peer_ledger::PeerLedger,
         tolerance::LimitTolerance,
         use_report::{AccountUse, NearAccount},
     },
@@ -26,62 +26,62 @@
 
 /// Time without an update after which a zone counts as unreachable and its share of each limit is reserved
 /// for it: three report intervals.
-pub(super) const CUT_AFTER: Duration = Duration::from_millis(1_000);
+pub(super) const UNREACHABLE_AFTER: Duration = Duration::from_millis(1_000);
 
 /// Factor by which an account's demand may jump before the hosts of the zone learn that it is near its limit.
-const SURGE: f64 = 8.0;
+const SURGE_FACTOR: f64 = 8.0;
 
 /// Time until all hosts of a zone know that an account is near its limit, in seconds: two reports plus the
 /// totals of the other zones.
-const LAG_SECONDS: f64 = 1.5;
+const PROPAGATION_SECONDS: f64 = 1.5;
 
 /// Interval at which the list of accounts near their limits is recomputed.
-const NEAR_PERIOD: Duration = Duration::from_millis(100);
+const NEAR_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time after which a new ledger has received data from all hosts of its zone and from the other zones.
-const SETTLE_TIME: Duration = Duration::from_millis(1_500);
+const WARM_UP_TIME: Duration = Duration::from_millis(1_500);
 
 /// Fraction of the tolerated overshoot that is granted to callers. The rest covers usage that hosts do not
 /// know of yet.
-const GRANTED_PART: f64 = 0.1;
+const GRANTED_FRACTION: f64 = 0.1;
 
 /// Fraction of the tolerated overshoot that is left for requests admitted without asking.
-const FREE_PART: f64 = 0.6;
+const UNCHECKED_FRACTION: f64 = 0.6;
 
 /// Fraction of the burst that a new ledger assumes to be used, as it does not know the earlier usage.
-const BEGIN_LEVEL: f64 = 0.9;
+const INITIAL_FILL: f64 = 0.9;
 
 /// Seconds of the rate by which a bucket may exceed its burst. The excess delays later requests, but by no
 /// more than this.
-pub(super) const DEBT_SECONDS: f64 = 2.0;
+pub(super) const MAX_DEBT_SECONDS: f64 = 2.0;
 
 /// Demand since the last broadcast, in seconds of the account's rate, from which a ledger broadcasts an
 /// account that is far below its limit.
-const TELL_SECONDS: f64 = 0.25;
+const BROADCAST_SECONDS: f64 = 0.25;
 
 /// How long a ledger counts as in use after a request from a host: hosts act on its answers for that long.
-const KEPT_TIME: Duration = Duration::from_millis(2_000);
+const IN_USE_TIME: Duration = Duration::from_millis(2_000);
 
 /// How long an idle account stays in broadcasts, and how long a silent ledger is remembered.
-pub(super) const BOOK_LIFE: Duration = Duration::from_secs(30);
+pub(super) const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Tracks the usage of all accounts in an availability zone.
 #[derive(Debug)]
 pub struct ZoneLedger {
     pub(super) id: u64,
     pub(super) zone: FastStr,
-    pub(super) began: Duration,
+    pub(super) started: Duration,
     tolerance: LimitTolerance,
-    pub(super) books: BTreeMap<AccountKey, AccountBook>,
+    pub(super) usages: BTreeMap<AccountKey, AccountUsage>,
     // Other zones that have hosts, each with the time of its last update.
     pub(super) zones: BTreeMap<FastStr, Option<Duration>>,
     // Totals received from other ledgers, by ledger id.
-    pub(super) seen: BTreeMap<u64, SeenLedger>,
+    pub(super) peers: BTreeMap<u64, PeerLedger>,
     // Accounts near their limits and the time at which the list was computed.
     near: Vec<NearAccount>,
-    near_at: Option<Duration>,
+    near_computed: Option<Duration>,
     // When the ledger last answered a host that asked it or reported usage.
-    kept: Option<Duration>,
+    last_answered: Option<Duration>,
 }
 
 impl ZoneLedger {
@@ -90,14 +90,14 @@
         Self {
             id,
             zone,
-            began: now,
+            started: now,
             tolerance,
-            books: BTreeMap::new(),
+            usages: BTreeMap::new(),
             zones: BTreeMap::new(),
-            seen: BTreeMap::new(),
+            peers: BTreeMap::new(),
             near: Vec::new(),
-            near_at: None,
-            kept: None,
+            near_computed: None,
+            last_answered: None,
         }
     }
 
@@ -118,19 +118,19 @@
         now: Duration,
     ) -> Result<(), Duration> {
         let reserved = self.reserve(account, limit, now);
-        let room = self.room(limit, now);
+        let capacity = self.capacity(limit, now);
         let rate = self.own_rate(limit, &reserved, now);
-        let book = self.book(account, limit, now);
-        book.note_asked(units, now);
+        let usage = self.usage_mut(account, limit, now);
+        usage.record_demand(units, now);
         let own = reserved.own_share();
         let bounds = BucketRate {
             rate,
-            burst: room * own,
+            burst: capacity * own,
         };
-        book.settle(&reserved, now);
-        let taken = book.bucket.take(units, bounds, now);
+        usage.charge_unreachable(&reserved, now);
+        let taken = usage.bucket.take(units, bounds, now);
         if taken.is_ok() {
-            book.taken = book.taken.wrapping_add(account_book::whole(units));
+            usage.taken = usage.taken.wrapping_add(account_usage::to_units(units));
         }
         taken
     }
@@ -139,14 +139,16 @@
     pub fn note(&mut self, used: AccountUse, limit: AccountLimit, now: Duration) {
         let reserved = self.reserve(used.account, limit, now);
         let rate = self.own_rate(limit, &reserved, now);
-        let book = self.book(used.account, limit, now);
-        book.note_asked(f64::from(used.asked), now);
-        book.settle(&reserved, now);
-        book.bucket.drain(rate, now);
+        let usage = self.usage_mut(used.account, limit, now);
+        usage.record_demand(f64::from(used.asked), now);
+        usage.charge_unreachable(&reserved, now);
+        usage.bucket.drain(rate, now);
         // The difference is modulo 2^32 and negative if more was refunded than used.
-        book.bucket.add(f64::from(used.taken as i32));
-        book.bucket.cap(limit.burst + DEBT_SECONDS * limit.rate);
-        book.taken = book.taken.wrapping_add(used.taken);
+        usage.bucket.add(f64::from(used.taken as i32));
+        usage
+            .bucket
+            .cap(limit.burst + MAX_DEBT_SECONDS * limit.rate);
+        usage.taken = usage.taken.wrapping_add(used.taken);
     }
 
     /// Records that the ledger answered a host that asked it or reported usage.
@@ -157,87 +159,90 @@
     /// were left (tests/account_limits.rs).
     pub fn note_kept(&mut self, now: Duration) {
         if !self.is_kept(now) && self.is_settled(now) {
-            self.begin(now);
+            self.reset(now);
         }
-        self.kept = Some(now);
+        self.last_answered = Some(now);
     }
 
     // The new id makes other ledgers treat it as a new ledger whose totals start at zero.
-    fn begin(&mut self, now: Duration) {
-        let drawn = xxh3::xxh3_64_with_seed(&self.id.to_le_bytes(), now.as_nanos() as u64);
-        self.id = drawn.max(1);
-        self.began = now;
-        self.books.clear();
+    fn reset(&mut self, now: Duration) {
+        let hash = xxh3::xxh3_64_with_seed(&self.id.to_le_bytes(), now.as_nanos() as u64);
+        self.id = hash.max(1);
+        self.started = now;
+        self.usages.clear();
         self.near.clear();
-        self.near_at = None;
-        for heard in self.zones.values_mut() {
-            *heard = None;
+        self.near_computed = None;
+        for last_update in self.zones.values_mut() {
+            *last_update = None;
         }
     }
 
     /// Whether hosts currently use this ledger.
     pub fn is_kept(&self, now: Duration) -> bool {
-        self.kept
-            .is_some_and(|at| now.saturating_sub(at) < KEPT_TIME)
+        self.last_answered
+            .is_some_and(|at| now.saturating_sub(at) < IN_USE_TIME)
     }
 
     /// Whether the ledger has enough data to tell which accounts are far below their limits. Until then hosts
     /// ask for every request: with a demand of 1.4 million units a second after all hosts were killed, 0.3 s
     /// without asking exceeded the tolerance by 0.11 (tests/account_limits.rs).
     pub fn is_settled(&self, now: Duration) -> bool {
-        now.saturating_sub(self.began) >= SETTLE_TIME
+        now.saturating_sub(self.started) >= WARM_UP_TIME
     }
 
     /// Accounts for which hosts must ask before they admit a request. The list is recomputed at most every
     /// 0.1 s, since all hosts of the zone request it several times a second.
     pub fn near(&mut self, accounts: &AccountDirectory, now: Duration) -> &[NearAccount] {
         let is_due = self
-            .near_at
-            .is_none_or(|at| now.saturating_sub(at) >= NEAR_PERIOD);
+            .near_computed
+            .is_none_or(|at| now.saturating_sub(at) >= NEAR_INTERVAL);
         if is_due {
             self.near = self.near_now(accounts, now);
-            self.near_at = Some(now);
+            self.near_computed = Some(now);
         }
         &self.near
     }
 
     fn near_now(&self, accounts: &AccountDirectory, now: Duration) -> Vec<NearAccount> {
-        let books = self.books.iter();
-        let near = books.filter_map(|(account, book)| {
+        let usages = self.usages.iter();
+        let near = usages.filter_map(|(account, usage)| {
             let limit = accounts.account(*account)?.limit?;
-            let is_cut = !self.hears_all(now);
-            let demand = book.total_demand(now);
-            let is_near = is_cut || self.may_surge(book, limit, demand);
+            let is_partitioned = !self.reaches_all(now);
+            let demand = usage.total_demand(now);
+            let is_near = is_partitioned || self.may_exceed(usage, limit, demand);
             is_near.then(|| NearAccount {
                 account: *account,
-                share: fitting_share(limit, demand),
+                share: admissible_share(limit, demand),
             })
         });
         near.collect()
     }
 
     // Units above the burst that are admitted on purpose.
-    fn granted_beyond(&self, limit: AccountLimit) -> f64 {
-        GRANTED_PART * self.tolerance.beyond(limit)
+    fn granted_overshoot(&self, limit: AccountLimit) -> f64 {
+        GRANTED_FRACTION * self.tolerance.beyond(limit)
     }
 
     // This ledger's share of the remaining limit and of its rate. During warm-up, the ledgers of zones that
     // have sent no update may be just as new, so all of them share both. Three ledgers that had not heard
     // from each other admitted 190,800 units of one account in 0.6 s, where its limit left 97,810
     // (tests/account_limits.rs).
-    fn begin_part(&self, now: Duration) -> f64 {
+    fn warm_up_share(&self, now: Duration) -> f64 {
         if self.is_settled(now) {
             return 1.0;
         }
-        let unheard = self.zones.values().filter(|heard| heard.is_none());
-        1.0 / (1 + unheard.count()) as f64
+        let silent = self
+            .zones
+            .values()
+            .filter(|last_update| last_update.is_none());
+        1.0 / (1 + silent.count()) as f64
     }
 
     // Capacity of an account's bucket.
-    fn room(&self, limit: AccountLimit, now: Duration) -> f64 {
-        let whole = limit.burst.max(1.0) + self.granted_beyond(limit);
-        let begun = limit.burst * BEGIN_LEVEL;
-        begun + (whole - begun) * self.begin_part(now)
+    fn capacity(&self, limit: AccountLimit, now: Duration) -> f64 {
+        let full = limit.burst.max(1.0) + self.granted_overshoot(limit);
+        let initial = limit.burst * INITIAL_FILL;
+        initial + (full - initial) * self.warm_up_share(now)
     }
 
     // Drain rate of this side of a partition, or of this one of several new ledgers, in units per second.
@@ -247,27 +252,27 @@
         reserved: &ReservedRate,
         now: Duration,
     ) -> f64 {
-        limit.rate * reserved.own_share() * self.begin_part(now)
+        limit.rate * reserved.own_share() * self.warm_up_share(now)
     }
 
     // Whether the account could exceed its limit by more than the tolerance before its hosts learn that it is
     // near.
-    fn may_surge(&self, book: &AccountBook, limit: AccountLimit, demand: f64) -> bool {
+    fn may_exceed(&self, usage: &AccountUsage, limit: AccountLimit, demand: f64) -> bool {
         let window = self.tolerance.window.as_secs_f64();
         let tolerated = self.tolerance.beyond(limit);
-        let unused = limit.burst - book.bucket.level() + (limit.rate - demand) * window;
-        let room = FREE_PART * (tolerated + unused);
-        demand * SURGE * LAG_SECONDS > room
+        let unused = limit.burst - usage.bucket.level() + (limit.rate - demand) * window;
+        let capacity = UNCHECKED_FRACTION * (tolerated + unused);
+        demand * SURGE_FACTOR * PROPAGATION_SECONDS > capacity
     }
 
-    fn hears_all(&self, now: Duration) -> bool {
+    fn reaches_all(&self, now: Duration) -> bool {
         let mut zones = self.zones.values();
-        zones.all(|heard| self.unheard_time(*heard, now).is_zero())
+        zones.all(|last_update| self.unreachable_time(*last_update, now).is_zero())
     }
 
     // How long a zone has been unreachable, that is, assumed to use its share.
-    fn unheard_time(&self, heard: Option<Duration>, now: Duration) -> Duration {
-        let until = heard.unwrap_or(self.began) + CUT_AFTER;
+    fn unreachable_time(&self, last_update: Option<Duration>, now: Duration) -> Duration {
+        let until = last_update.unwrap_or(self.started) + UNREACHABLE_AFTER;
         now.saturating_sub(until)
     }
 
@@ -279,35 +284,35 @@
         limit: AccountLimit,
         now: Duration,
     ) -> ReservedRate {
-        let times = self.zones.iter().map(|(zone, heard)| {
-            let time = self.unheard_time(*heard, now);
+        let times = self.zones.iter().map(|(zone, last_update)| {
+            let time = self.unreachable_time(*last_update, now);
             (zone, time)
         });
-        let unheard: Vec<(&FastStr, Duration)> =
+        let unreachable: Vec<(&FastStr, Duration)> =
             times.filter(|(_, time)| !time.is_zero()).collect();
-        if unheard.is_empty() {
+        if unreachable.is_empty() {
             return ReservedRate::default();
         }
-        let book = self.books.get(&account);
+        let usage = self.usages.get(&account);
         let demand_of = |zone: &FastStr| {
-            let book = book?;
-            let away = book.away.get(zone);
-            let demand = away.map_or(book.known_demand, |away| away.known_demand);
-            Some(demand + book.idle_demand())
+            let usage = usage?;
+            let remote = usage.remote.get(zone);
+            let demand = remote.map_or(usage.known_demand, |remote| remote.known_demand);
+            Some(demand + usage.idle_demand())
         };
         // Without usage data for the account, all zones count as equal.
         let demand_of = |zone: &FastStr| demand_of(zone).unwrap_or(1.0);
-        let own = book.map_or(1.0, |book| book.known_demand + book.idle_demand());
-        let whole: f64 = own + self.zones.keys().map(demand_of).sum::<f64>();
-        let zones = unheard.into_iter().map(|(zone, time)| {
-            let rate = limit.rate * demand_of(zone) / whole;
-            UnheardZone {
+        let own = usage.map_or(1.0, |usage| usage.known_demand + usage.idle_demand());
+        let total: f64 = own + self.zones.keys().map(demand_of).sum::<f64>();
+        let zones = unreachable.into_iter().map(|(zone, time)| {
+            let rate = limit.rate * demand_of(zone) / total;
+            UnreachableZone {
                 name: zone.clone(),
                 rate,
                 time,
             }
         });
-        let zones: Vec<UnheardZone> = zones.collect();
+        let zones: Vec<UnreachableZone> = zones.collect();
         let rate: f64 = zones.iter().map(|zone| zone.rate).sum();
         ReservedRate {
             share: rate / limit.rate,
@@ -315,46 +320,46 @@
         }
     }
 
-    pub(super) fn book(
+    pub(super) fn usage_mut(
         &mut self,
         account: AccountKey,
         limit: AccountLimit,
         now: Duration,
-    ) -> &mut AccountBook {
-        let hears_all = self.hears_all(now);
-        let began = self.began;
-        let book = self.books.entry(account).or_insert_with(|| AccountBook {
+    ) -> &mut AccountUsage {
+        let reaches_all = self.reaches_all(now);
+        let started = self.started;
+        let usage = self.usages.entry(account).or_insert_with(|| AccountUsage {
             // Usage from before the ledger started has drained since.
-            bucket: RateBucket::filled(limit.burst * BEGIN_LEVEL, began),
-            settled: now,
-            ..AccountBook::default()
+            bucket: RateBucket::filled(limit.burst * INITIAL_FILL, started),
+            charged_until: now,
+            ..AccountUsage::default()
         });
-        book.tell_from = limit.rate * TELL_SECONDS;
-        if hears_all {
-            book.note_known(now);
+        usage.broadcast_threshold = limit.rate * BROADCAST_SECONDS;
+        if reaches_all {
+            usage.store_known_demand(now);
         }
-        book.used = now;
-        book
+        usage.last_used = now;
+        usage
     }
 
     /// Drops ledgers that have been silent for too long and accounts that are no longer configured.
     pub fn forget_old(&mut self, accounts: &AccountDirectory, now: Duration) {
-        self.seen
-            .retain(|_, ledger| now.saturating_sub(ledger.told) < BOOK_LIFE);
-        self.books
+        self.peers
+            .retain(|_, ledger| now.saturating_sub(ledger.updated) < IDLE_TIMEOUT);
+        self.usages
             .retain(|account, _| accounts.account(*account).is_some());
     }
 
     /// Units used and not yet drained, and demand in units per second, for metrics.
     pub fn figures(&self, account: AccountKey, now: Duration) -> (f64, f64) {
-        let book = self.books.get(&account);
-        book.map_or((0.0, 0.0), |book| {
-            (book.bucket.level(), book.total_demand(now))
+        let usage = self.usages.get(&account);
+        usage.map_or((0.0, 0.0), |usage| {
+            (usage.bucket.level(), usage.total_demand(now))
         })
     }
 }
 
-fn fitting_share(limit: AccountLimit, demand: f64) -> f64 {
+fn admissible_share(limit: AccountLimit, demand: f64) -> f64 {
     match demand > limit.rate {
         true => limit.rate / demand,
         false => 1.0,
--- a/src/account/mod.rs
+++ b/src/account/mod.rs
@@ -4,20 +4,20 @@
 //! Plain state machines and functions that take the time as an argument and use no clock, socket or task.
 //! Both the filter chain and the relay call them.
 
-mod account_book;
+mod account_usage;
+mod admission;
 mod bucket;
 mod client_account;
-mod desk;
 mod directory;
 mod key;
+mod key_status;
 mod ledger;
 mod ledger_sums;
-mod seen_ledger;
-mod standing;
+mod peer_ledger;
 mod tolerance;
 mod use_report;
 
 pub use self::{
-    bucket::*, client_account::*, desk::*, directory::*, key::*, ledger::*, standing::*,
+    admission::*, bucket::*, client_account::*, directory::*, key::*, key_status::*, ledger::*,
     tolerance::*, use_report::*,
 };
