--- a/tests/account_keys.rs
+++ b/tests/account_keys.rs
@@ -15,11 +15,11 @@
     std::time::Duration,
 };
 
-const REVOKE: u64 = 5_000;
+const REVOKE_TIME_MS: u64 = 5_000;
 
 fn rules() -> KeyRules {
     KeyRules {
-        revoke_time: Some(Duration::from_millis(REVOKE)),
+        revoke_time: Some(Duration::from_millis(REVOKE_TIME_MS)),
         apply_time: Duration::from_millis(3_000),
     }
 }
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_hash_is_written_and_read_and_shows_no_key() {
+fn key_hash_round_trips_and_never_reveals_the_key() {
     let hash = KeyHash::of(b"secret");
     let text = serde_json::to_string(&hash).unwrap();
     assert!(text.starts_with("\"sha256:2bb80d53"), "{text}");
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_key_opens_its_account_alone_and_a_claimed_one_opens_nothing() {
+fn key_identifies_its_account_and_a_shared_key_is_rejected() {
     let directory = AccountDirectory::new(&[
         account("a", &["k-1", "both", "k-1"]),
         account("b", &["k-2", "both"]),
@@ -76,23 +76,22 @@
 }
 
 #[test]
-fn a_key_opens_while_the_configuration_is_proved_and_an_unknown_one_is_refused_for_good_only_then()
-{
+fn key_checks_need_a_recent_proof_of_the_configuration() {
     let directory = AccountDirectory::new(&[account("a", &["k-1"])]);
-    let life = rules().proof_life().unwrap().as_millis() as u64;
+    let max_age = rules().proof_life().unwrap().as_millis() as u64;
     assert!(
-        life < REVOKE - 1_000,
-        "a deaf watch may be wrong by a second"
+        max_age < REVOKE_TIME_MS - 1_000,
+        "the state seen through a silent watch may be a second old"
     );
     let known = |proof| judge(&directory, shown("k-1"), proof);
-    assert!(matches!(known(Some(life - 1)), KeyStanding::Account(_)));
-    for proof in [Some(life), Some(60_000), None] {
+    assert!(matches!(known(Some(max_age - 1)), KeyStanding::Account(_)));
+    for proof in [Some(max_age), Some(60_000), None] {
         assert_eq!(known(proof), KeyStanding::Unsure);
     }
     let unknown = |proof| judge(&directory, shown("k-2"), proof);
     assert_eq!(unknown(Some(2_999)), KeyStanding::Unknown);
     for proof in [Some(3_000), None] {
-        assert_eq!(unknown(proof), KeyStanding::Unsure, "it may be new");
+        assert_eq!(unknown(proof), KeyStanding::Unsure, "the key may be new");
     }
     // A request without a key would be refused by a newer configuration too.
     assert_eq!(
@@ -102,7 +101,7 @@
 }
 
 #[test]
-fn public_routes_go_on_and_a_list_without_accounts_opens_nothing_else() {
+fn public_routes_need_no_key_and_an_empty_account_list_rejects_all() {
     let directory = AccountDirectory::new(&[account("a", &["k-1"])]);
     let public = |shown| judge_key(Some(&directory), shown, true, None, &rules());
     assert_eq!(public(ShownKey::None), KeyStanding::Open);
@@ -111,11 +110,15 @@
     let none = AccountDirectory::new(&[]);
     assert_eq!(judge(&none, shown("k-1"), Some(1)), KeyStanding::Unknown);
     let open = judge_key(None, ShownKey::None, false, None, &rules());
-    assert_eq!(open, KeyStanding::Open, "no list, no keys");
+    assert_eq!(
+        open,
+        KeyStanding::Open,
+        "without an account list no key is needed"
+    );
 }
 
 #[test]
-fn a_proof_never_becomes_younger_on_its_way() {
+fn proof_time_never_moves_forward_between_hosts() {
     // The proof time passed on is never later than the original one, whatever the request of each hop took
     // and however long the host held its answer.
     for (asked, held, age) in [(1_000, 0, 400), (1_000, 290, 400), (5_000, 12, 0)] {
@@ -133,7 +136,11 @@
     cluster.prove_config(PastTime::at(Duration::from_millis(900)));
     cluster.prove_config(PastTime::at(Duration::from_millis(300)));
     let age = cluster.proof_age(Duration::from_millis(1_000));
-    assert_eq!(age, Some(Duration::from_millis(100)), "the newest counts");
+    assert_eq!(
+        age,
+        Some(Duration::from_millis(100)),
+        "the newest proof counts"
+    );
     // A proof older than this host's start keeps its age.
     let mut cluster = ClusterState::default();
     let early = PastTime::at(Duration::from_millis(50)).before(Duration::from_secs(4));
@@ -145,69 +152,71 @@
 // Runs a fleet while its keys change. No host may admit a request by a version if a newer one was
 // acknowledged longer ago than the revocation time. Returns the fraction of host steps in which requests were
 // admitted.
-fn let_in_share(fleet: &mut SimFleet, trouble: &SimTrouble, changes: &[u64], time: u64) -> f64 {
-    let_in_since(fleet, trouble, changes, time, &mut Vec::new())
+fn admitting_share(fleet: &mut SimFleet, fault: &SimTrouble, changes: &[u64], time: u64) -> f64 {
+    admitting_share_after(fleet, fault, changes, time, &mut Vec::new())
 }
 
-// Like `let_in_share`, with the versions acknowledged earlier, each with its time.
-fn let_in_since(
+// Like `admitting_share`, with the versions acknowledged earlier, each with its time.
+fn admitting_share_after(
     fleet: &mut SimFleet,
-    trouble: &SimTrouble,
+    fault: &SimTrouble,
     changes: &[u64],
     time: u64,
     acknowledged: &mut Vec<(u64, u64)>,
 ) -> f64 {
-    let life = rules().proof_life().unwrap().as_millis() as u64;
+    let max_age = rules().proof_life().unwrap().as_millis() as u64;
     let start = fleet.now;
-    let (mut open, mut all) = (0_u64, 0_u64);
+    let (mut admitting, mut all) = (0_u64, 0_u64);
     while fleet.now < start + time {
         if changes.contains(&(fleet.now - start)) {
             fleet.version += 1;
             acknowledged.push((fleet.version, fleet.now));
         }
-        fleet.run(trouble, STEP);
+        fleet.run(fault, STEP);
         for host in fleet.hosts.iter().filter(|host| host.is_up) {
-            let lets_in = host.proved.is_some_and(|at| fleet.now - at < life);
+            let admits = host.proved.is_some_and(|at| fleet.now - at < max_age);
             all += 1;
-            open += u64::from(lets_in);
-            let closed = acknowledged.iter().rfind(|(_, at)| fleet.now > at + REVOKE);
-            let needed = closed.map_or(0, |(version, _)| *version);
+            admitting += u64::from(admits);
+            let due_version = acknowledged
+                .iter()
+                .rfind(|(_, at)| fleet.now > at + REVOKE_TIME_MS);
+            let required = due_version.map_or(0, |(version, _)| *version);
             assert!(
-                !lets_in || host.version >= needed,
-                "{} lets in by version {} where {needed} is due",
+                !admits || host.version >= required,
+                "{} admits requests by version {}, but {required} is required",
                 host.entry.name,
                 host.version
             );
         }
     }
-    open as f64 / all as f64
+    admitting as f64 / all as f64
 }
 
-fn is_third(entry: &bayplank::relay::HostEntry) -> bool {
+fn is_third_of_hosts(entry: &bayplank::relay::HostEntry) -> bool {
     let sum: u32 = entry.name.bytes().map(u32::from).sum();
     sum.is_multiple_of(3)
 }
 
-const TROUBLES: [(&str, SimTrouble, f64); 5] = [
-    ("calm", fleet_sim::CALM, 0.999),
+const FAULTS: [(&str, SimTrouble, f64); 5] = [
+    ("no fault", fleet_sim::CALM, 0.999),
     (
-        "a third turned away",
+        "store refuses a third of the hosts",
         SimTrouble {
-            store: |entry| !is_third(entry),
+            store: |entry| !is_third_of_hosts(entry),
             path: |_, _| true,
         },
         0.9,
     ),
     (
-        "readers and a third turned away",
+        "store refuses the readers and a third of the hosts",
         SimTrouble {
-            store: |entry| !is_third(entry) && !entry.name.ends_with("-0"),
+            store: |entry| !is_third_of_hosts(entry) && !entry.name.ends_with("-0"),
             path: |_, _| true,
         },
         0.9,
     ),
     (
-        "the store silent for all",
+        "store answers no host",
         SimTrouble {
             store: |_| false,
             path: |_, _| true,
@@ -215,7 +224,7 @@
         0.2,
     ),
     (
-        "a zone cut off, the store on the other side",
+        "zone partitioned from the store",
         SimTrouble {
             store: |entry| entry.zone != "z-a",
             path: |from, to| (from.zone == "z-a") == (to.zone == "z-a"),
@@ -225,89 +234,95 @@
 ];
 
 #[test]
-fn keys_that_were_taken_away_open_nothing_anywhere_after_the_bound() {
+fn revoked_keys_are_rejected_everywhere_after_the_revocation_time() {
     for (zones, hosts) in [(3, 3), (3, 29), (5, 59)] {
-        for (name, trouble, least) in &TROUBLES {
+        for (name, fault, minimum) in &FAULTS {
             let mut fleet = SimFleet::running(zones, hosts);
             let changes = [0, 500, 1_000, 4_000, 4_025, 8_000];
-            let share = let_in_share(&mut fleet, trouble, &changes, 12_000);
+            let share = admitting_share(&mut fleet, fault, &changes, 12_000);
             assert!(
-                share >= *least,
-                "{name}, {zones} zones of {hosts}: {share:.3} let in"
+                share >= *minimum,
+                "{name}, {zones} zones of {hosts}: {share:.3} admitting"
             );
             // All hosts recover after the fault.
             fleet.time_to_force(&fleet_sim::CALM, 4_000);
-            let_in_share(&mut fleet, &fleet_sim::CALM, &[0, 3_000], 4_000);
-            let share = let_in_share(&mut fleet, &fleet_sim::CALM, &[], 1_000);
-            assert!(share > 0.999, "{name}, afterwards: {share:.3}");
+            admitting_share(&mut fleet, &fleet_sim::CALM, &[0, 3_000], 4_000);
+            let share = admitting_share(&mut fleet, &fleet_sim::CALM, &[], 1_000);
+            assert!(share > 0.999, "{name}, after recovery: {share:.3}");
         }
     }
 }
 
 #[test]
-fn hosts_that_freeze_or_restart_amid_it_let_in_by_no_older_key() {
+fn suspended_and_restarted_hosts_accept_no_revoked_key() {
     for seed in 0..6 {
         let mut fleet = SimFleet::running(3, 29);
-        for turn in 0..6_u64 {
+        for round in 0..6_u64 {
             // Suspended hosts keep their state and resume with it.
-            let frozen: Vec<usize> = (0..fleet.hosts.len())
-                .filter(|index| (*index as u64 + turn + seed).is_multiple_of(7))
+            let suspended: Vec<usize> = (0..fleet.hosts.len())
+                .filter(|index| (*index as u64 + round + seed).is_multiple_of(7))
                 .collect();
-            for index in &frozen {
+            for index in &suspended {
                 fleet.hosts[*index].is_up = false;
             }
-            let (_, trouble, _) = &TROUBLES[((turn + seed) % 5) as usize];
-            let_in_share(&mut fleet, trouble, &[0, 1_000], 4_000);
-            for (place, index) in frozen.iter().enumerate() {
+            let (_, fault, _) = &FAULTS[((round + seed) % 5) as usize];
+            admitting_share(&mut fleet, fault, &[0, 1_000], 4_000);
+            for (position, index) in suspended.iter().enumerate() {
                 fleet.hosts[*index].is_up = true;
-                if place % 2 == 0 {
+                if position % 2 == 0 {
                     fleet.restart(*index);
                 }
             }
-            let_in_share(&mut fleet, trouble, &[], 700);
+            admitting_share(&mut fleet, fault, &[], 700);
         }
     }
 }
 
 /// Event in a fleet of nine hosts whose keys change.
 #[derive(Debug, Clone, TypeGenerator)]
-enum KeyMoment {
+enum KeyEvent {
     // A fault for a number of milliseconds, and the times within it at which keys are revoked.
-    Trouble(u8, u16, [u16; 2]),
-    Freezes(u8),
+    Fault(u8, u16, [u16; 2]),
+    Suspend(u8),
     // A suspended host resumes with its state, or restarts without it.
-    Wakes(u8, bool),
+    Resume(u8, bool),
 }
 
 #[test]
-fn no_key_that_was_taken_away_opens_anything_whatever_happens_meanwhile() {
+fn revoked_keys_are_rejected_under_random_faults() {
     check!()
         .with_iterations(300)
-        .with_type::<Vec<KeyMoment>>()
-        .for_each(|moments| {
+        .with_type::<Vec<KeyEvent>>()
+        .for_each(|events| {
             let mut fleet = SimFleet::running(3, 3);
             let mut acknowledged = Vec::new();
             let count = fleet.hosts.len();
-            for moment in moments.iter().take(24) {
-                match moment {
-                    KeyMoment::Trouble(trouble, time, changes) => {
-                        let (_, trouble, _) = &TROUBLES[usize::from(*trouble) % TROUBLES.len()];
+            for event in events.iter().take(24) {
+                match event {
+                    KeyEvent::Fault(fault, time, changes) => {
+                        let (_, fault, _) = &FAULTS[usize::from(*fault) % FAULTS.len()];
                         let time = u64::from(*time) % 6_000;
                         let steps = |at: &u16| u64::from(*at) % time.max(1) / STEP * STEP;
                         let changes: Vec<u64> = changes.iter().map(steps).collect();
                         // All hosts may be suspended.
                         if fleet.hosts.iter().any(|host| host.is_up) {
                             let time = time.max(STEP);
-                            let_in_since(&mut fleet, trouble, &changes, time, &mut acknowledged);
+                            admitting_share_after(
+                                &mut fleet,
+                                fault,
+                                &changes,
+                                time,
+                                &mut acknowledged,
+                            );
                         }
                     }
-                    KeyMoment::Freezes(host) => {
+                    KeyEvent::Suspend(host) => {
                         fleet.hosts[usize::from(*host) % count].is_up = false;
                     }
-                    KeyMoment::Wakes(host, is_anew) => {
+                    KeyEvent::Resume(host, is_restart) => {
                         let index = usize::from(*host) % count;
                         fleet.hosts[index].is_up = true;
-                        if *is_anew {
+                        if *is_restart {
                             fleet.restart(index);
                         }
                     }
--- a/tests/account_limits.rs
+++ b/tests/account_limits.rs
@@ -4,7 +4,7 @@
 mod limit_sim;
 
 use {
-    crate::limit_sim::{LimitSim, LimitWay, TOLERANCE},
+    crate::limit_sim::{LimitMode, LimitSim, TOLERANCE},
     bayplank::account::{
         AccountDirectory, AccountKey, AccountLimit, ClientAccount, LedgerSums, LimitTolerance,
         LimitUnit, ZoneLedger,
@@ -15,21 +15,21 @@
 
 /// Limit of the smallest accounts in tokens per second, and the fraction of its limit that each account
 /// normally requests.
-const LEAST: f64 = 36_000.0;
+const LEAST_LIMIT: f64 = 36_000.0;
 const LOAD: f64 = 0.55;
 
 /// Fleet sizes: zones, hosts per zone, accounts.
 const FLEETS: [(usize, usize, usize); 4] = [(3, 3, 16), (3, 29, 16), (5, 59, 120), (7, 60, 970)];
 
-fn fleet(way: LimitWay, (zones, hosts, accounts): (usize, usize, usize)) -> LimitSim {
+fn fleet(mode: LimitMode, (zones, hosts, accounts): (usize, usize, usize)) -> LimitSim {
     // The largest fleet has more and smaller accounts: 2.9 million tokens per second in total.
-    let least = if accounts > 500 { 5_000.0 } else { LEAST };
-    LimitSim::new(way, zones, hosts, accounts, least, LOAD, 1)
+    let least_limit = if accounts > 500 { 5_000.0 } else { LEAST_LIMIT };
+    LimitSim::new(mode, zones, hosts, accounts, least_limit, LOAD, 1)
 }
 
 /// How long newly started hosts get no answer from ledger hosts, in milliseconds: they first have to learn
 /// which hosts these are, and notice that one of them is gone.
-const SILENT_BOOKS: u64 = 1_200;
+const LEDGER_SILENCE_MS: u64 = 1_200;
 
 /// Tokens of a typical stream.
 const REQUEST_UNITS: f64 = 5_300.0;
@@ -42,9 +42,9 @@
 }
 
 #[test]
-fn accounts_within_their_limits_are_let_in_and_those_beyond_get_what_the_limits_cover() {
+fn accounts_get_what_their_limits_cover_and_no_more() {
     for size in FLEETS {
-        let mut sim = fleet(LimitWay::Ask, size);
+        let mut sim = fleet(LimitMode::AskLedger, size);
         // New ledgers assume part of each limit to be used.
         sim.run(2_000);
         sim.shares();
@@ -52,63 +52,81 @@
         let (refused, _) = sim.shares();
         // With limits of one request per second, averages over a few seconds vary widely.
         let most = if size.2 > 500 { 0.03 } else { 0.01 };
-        assert!(refused < most, "{size:?}, calm: {refused:.4} refused");
+        assert!(
+            refused < most,
+            "{size:?}, normal demand: {refused:.4} refused"
+        );
         make_hot(&mut sim, 7.5);
         sim.run(10_000);
-        let (refused, let_in) = sim.shares();
-        assert!(refused < most, "{size:?}, others: {refused:.4} refused");
-        assert!((0.9..1.2).contains(&let_in), "{size:?}: {let_in:.3} let in");
-        assert!(sim.worst() <= 1.0, "{size:?}: {:.3}", sim.worst());
+        let (refused, admitted) = sim.shares();
+        assert!(
+            refused < most,
+            "{size:?}, other accounts: {refused:.4} refused"
+        );
+        assert!(
+            (0.9..1.2).contains(&admitted),
+            "{size:?}: {admitted:.3} admitted"
+        );
+        assert!(sim.max_usage() <= 1.0, "{size:?}: {:.3}", sim.max_usage());
     }
 }
 
 // The largest fleet is left out: simulating its partition takes 13 s, and a quarter of the requests that
 // limits of one request per second cover are refused.
 #[test]
-fn both_sides_of_a_cut_together_stay_within_the_limits() {
+fn both_sides_of_a_partition_stay_within_the_limits() {
     for size in &FLEETS[..3] {
         let size = *size;
-        let mut sim = fleet(LimitWay::Ask, size);
+        let mut sim = fleet(LimitMode::AskLedger, size);
         sim.run(5_000);
-        sim.cut = Some(1);
+        sim.partition = Some(1);
         sim.run(8_000);
         let (refused, _) = sim.shares();
         let most = 0.05;
-        assert!(refused < most, "{size:?}, cut: {refused:.4} refused");
+        assert!(refused < most, "{size:?}, partition: {refused:.4} refused");
         make_hot(&mut sim, 7.5);
         sim.run(10_000);
-        let (refused, let_in) = sim.shares();
-        assert!(refused < most, "{size:?}, cut: {refused:.4} refused");
-        assert!((0.8..1.3).contains(&let_in), "{size:?}: {let_in:.3} let in");
-        sim.cut = None;
+        let (refused, admitted) = sim.shares();
+        assert!(refused < most, "{size:?}, partition: {refused:.4} refused");
+        assert!(
+            (0.8..1.3).contains(&admitted),
+            "{size:?}: {admitted:.3} admitted"
+        );
+        sim.partition = None;
         sim.run(8_000);
-        let (refused, let_in) = sim.shares();
-        assert!(refused < 0.01, "{size:?}, healed: {refused:.4} refused");
-        assert!((0.8..1.2).contains(&let_in), "{size:?}: {let_in:.3} let in");
-        assert!(sim.worst() <= 1.0, "{size:?}: {:.3}", sim.worst());
+        let (refused, admitted) = sim.shares();
+        assert!(
+            refused < 0.01,
+            "{size:?}, after the partition: {refused:.4} refused"
+        );
+        assert!(
+            (0.8..1.2).contains(&admitted),
+            "{size:?}: {admitted:.3} admitted"
+        );
+        assert!(sim.max_usage() <= 1.0, "{size:?}: {:.3}", sim.max_usage());
     }
 }
 
 #[test]
-fn a_cut_while_demand_moves_between_zones_lets_in_no_more() {
-    let mut sim = fleet(LimitWay::Ask, FLEETS[1]);
+fn partition_with_shifting_demand_stays_within_the_limits() {
+    let mut sim = fleet(LimitMode::AskLedger, FLEETS[1]);
     sim.run(5_000);
     make_hot(&mut sim, 6.0);
-    for turn in 0..6 {
-        sim.cut = (turn % 2 == 0).then_some(turn % 3);
-        let hot = turn % 3;
+    for round in 0..6 {
+        sim.partition = (round % 2 == 0).then_some(round % 3);
+        let hot = round % 3;
         sim.weights = (0..3)
             .map(|zone| if zone == hot { 0.7 } else { 0.15 })
             .collect();
         sim.run(4_000);
     }
-    assert!(sim.worst() <= 1.0, "{:.3}", sim.worst());
+    assert!(sim.max_usage() <= 1.0, "{:.3}", sim.max_usage());
 }
 
 #[test]
-fn books_that_are_lost_are_begun_anew_without_going_beyond_the_limits() {
+fn lost_ledgers_restart_within_the_limits() {
     for size in [FLEETS[0], FLEETS[1], FLEETS[2]] {
-        let mut sim = fleet(LimitWay::Ask, size);
+        let mut sim = fleet(LimitMode::AskLedger, size);
         sim.run(5_000);
         make_hot(&mut sim, 7.5);
         sim.run(8_000);
@@ -116,30 +134,38 @@
             sim.lose_ledger(zone);
             sim.run(4_000);
         }
-        assert!(sim.worst() <= 1.0, "{size:?}, ledgers: {:.3}", sim.worst());
+        assert!(
+            sim.max_usage() <= 1.0,
+            "{size:?}, lost ledgers: {:.3}",
+            sim.max_usage()
+        );
         sim.kill_all();
         sim.run(9_000);
-        assert!(sim.worst() <= 1.0, "{size:?}, all: {:.3}", sim.worst());
+        assert!(
+            sim.max_usage() <= 1.0,
+            "{size:?}, all hosts killed: {:.3}",
+            sim.max_usage()
+        );
         let (refused, _) = sim.shares();
         assert!(refused < 0.02, "{size:?}: {refused:.4} refused");
     }
 }
 
 #[test]
-fn a_lowered_limit_binds_within_its_window() {
-    let mut sim = fleet(LimitWay::Ask, FLEETS[1]);
+fn lowered_limit_applies_within_its_window() {
+    let mut sim = fleet(LimitMode::AskLedger, FLEETS[1]);
     sim.run(9_000);
     sim.set_limit(0, 40_000.0);
     sim.set_limit(9, 10_000.0);
     // Usage admitted before was within the old limit.
     sim.run(8_000);
     for index in [0, 9] {
-        sim.accounts[index].forget_let_in();
+        sim.accounts[index].forget_admitted();
     }
     sim.run(12_000);
     for index in [0, 9] {
-        let worst = sim.worst_window(index);
-        assert!(worst <= 1.0, "account {index}: {worst:.3}");
+        let max_usage = sim.max_window_usage(index);
+        assert!(max_usage <= 1.0, "account {index}: {max_usage:.3}");
     }
 }
 
@@ -148,32 +174,32 @@
 // tolerated usage instead of 0.89 (87 hosts, four accounts at 7.5 times their usual demand), and 1.97 of what
 // the limits cover after a loss of hosts.
 #[test]
-fn letting_in_a_share_without_asking_goes_beyond_the_limits() {
-    let mut sim = fleet(LimitWay::Thin, FLEETS[1]);
+fn admitting_a_share_without_asking_exceeds_the_limits() {
+    let mut sim = fleet(LimitMode::FixedShare, FLEETS[1]);
     sim.run(10_000);
     make_hot(&mut sim, 7.5);
     sim.run(10_000);
-    assert!(sim.worst() > 1.2, "{:.3}", sim.worst());
+    assert!(sim.max_usage() > 1.2, "{:.3}", sim.max_usage());
 }
 
 #[test]
-fn talk_of_accounts_is_small_at_the_size_of_the_design() {
-    let mut sim = fleet(LimitWay::Ask, FLEETS[3]);
+fn account_traffic_is_small_at_the_design_size() {
+    let mut sim = fleet(LimitMode::AskLedger, FLEETS[3]);
     sim.run(4_000);
-    sim.bytes();
+    sim.bytes_per_second();
     sim.shares();
     sim.run(8_000);
-    let (host, ledger) = sim.bytes();
-    println!("{host:.0} bytes a second a host, {ledger:.0} a ledger for sums");
-    assert!(host < 4_000.0, "{host:.0} bytes a second a host");
-    assert!(ledger < 64_000.0, "{ledger:.0} bytes a second a ledger");
+    let (host, ledger) = sim.bytes_per_second();
+    println!("{host:.0} bytes per second and host, {ledger:.0} per second and ledger for totals");
+    assert!(host < 4_000.0, "{host:.0} bytes per second and host");
+    assert!(ledger < 64_000.0, "{ledger:.0} bytes per second and ledger");
 }
 
 // Guards against a ledger that no host uses and whose level is far too low, as it only receives totals. When
 // ledgers were corrected towards such a level, they admitted 1.12 of the tolerated usage in a run in which
 // all hosts were killed and a new ledger host took over.
 #[test]
-fn a_ledger_that_no_host_goes_by_tells_nothing() {
+fn unused_ledger_sends_no_totals() {
     let now = Duration::from_secs(10);
     let limit = AccountLimit {
         unit: LimitUnit::Requests,
@@ -217,16 +243,16 @@
 // once, and hosts that know the configuration but not the ledger hosts, or whose requests to them fail,
 // admitted everything.
 #[test]
-fn hosts_that_nobody_has_told_of_use_do_not_let_everything_in() {
+fn hosts_without_usage_data_do_not_admit_everything() {
     for size in [FLEETS[0], FLEETS[1], FLEETS[2]] {
-        let mut sim = fleet(LimitWay::Ask, size);
+        let mut sim = fleet(LimitMode::AskLedger, size);
         sim.run(5_000);
         make_hot(&mut sim, 7.5);
         sim.run(8_000);
         sim.shares();
-        sim.kill_all_books_last(SILENT_BOOKS);
+        sim.kill_all_with_silent_ledgers(LEDGER_SILENCE_MS);
         sim.run(9_000);
-        assert!(sim.worst() <= 1.0, "{size:?}: {:.3}", sim.worst());
+        assert!(sim.max_usage() <= 1.0, "{size:?}: {:.3}", sim.max_usage());
         let (refused, _) = sim.shares();
         assert!(refused < 0.05, "{size:?}: {refused:.4} refused");
     }
@@ -235,7 +261,7 @@
 // Another suspected cause of the same overshoot: three new ledgers that have not heard from each other each
 // drain at the account's full rate.
 #[test]
-fn books_that_have_just_begun_share_the_rate_until_they_hear_of_each_other() {
+fn new_ledgers_share_the_rate_until_they_hear_from_each_other() {
     let limit = AccountLimit {
         unit: LimitUnit::Tokens { unnamed: 200 },
         rate: 90_000.0,
@@ -245,7 +271,7 @@
     let names: Vec<FastStr> = ["z-a", "z-b", "z-c"].map(FastStr::from).to_vec();
     let tolerance = limit_sim::TOLERANCE;
     let unheard = Duration::from_millis(600);
-    let mut let_in = 0.0;
+    let mut admitted = 0.0;
     for (index, zone) in names.iter().enumerate() {
         let mut ledger = ZoneLedger::new(index as u64 + 1, zone.clone(), tolerance, Duration::ZERO);
         let others = names.iter().filter(|other| *other != zone);
@@ -253,20 +279,20 @@
         for now in (0..unheard.as_millis() as u64).step_by(10) {
             let now = Duration::from_millis(now);
             if ledger.charge(account, limit, REQUEST_UNITS, now).is_ok() {
-                let_in += REQUEST_UNITS;
+                admitted += REQUEST_UNITS;
             }
         }
     }
     let left = 0.1 * (limit.burst + tolerance.beyond(limit));
     let most = left + limit.rate * unheard.as_secs_f64() + names.len() as f64 * REQUEST_UNITS;
-    assert!(let_in <= most, "{let_in} of {most}");
+    assert!(admitted <= most, "{admitted} of {most}");
 }
 
 // Another suspected cause of the same overshoot: in the second after the restart the zones admitted 132,000,
 // 71,000 and 110,000 units of the account, three times what its limit left, as new ledgers would that have
 // not heard from each other.
 #[test]
-fn books_that_have_just_begun_share_what_is_left_of_a_limit() {
+fn new_ledgers_share_what_is_left_of_a_limit() {
     let limit = AccountLimit {
         unit: LimitUnit::Tokens { unnamed: 200 },
         rate: 54_000.0,
@@ -276,13 +302,13 @@
     let names: Vec<FastStr> = ["z-a", "z-b", "z-c"].map(FastStr::from).to_vec();
     let tolerance = limit_sim::TOLERANCE;
     let soon = Duration::from_millis(200);
-    let mut let_in = 0.0;
+    let mut admitted = 0.0;
     for (index, zone) in names.iter().enumerate() {
         let mut ledger = ZoneLedger::new(index as u64 + 1, zone.clone(), tolerance, Duration::ZERO);
         let others = names.iter().filter(|other| *other != zone);
         ledger.set_zones(&others.cloned().collect::<BTreeSet<_>>());
         while ledger.charge(account, limit, REQUEST_UNITS, soon).is_ok() {
-            let_in += REQUEST_UNITS;
+            admitted += REQUEST_UNITS;
         }
     }
     // A tenth of the burst and of the tolerance, the units drained meanwhile, and one overflowing request per
@@ -290,7 +316,7 @@
     let zones = names.len() as f64;
     let left = 0.1 * (limit.burst + tolerance.beyond(limit));
     let most = left + zones * (limit.rate * soon.as_secs_f64() + REQUEST_UNITS);
-    assert!(let_in <= most, "{let_in} of {most}");
+    assert!(admitted <= most, "{admitted} of {most}");
 }
 
 // Guards against a ledger that assumes its start to be the start of its host. An account exceeded its limit
@@ -301,7 +327,7 @@
 // the hosts' log lines of such a run, units admitted and refusals of the account in steps of 0.2 s; this
 // test.
 #[test]
-fn books_of_a_host_that_comes_to_keep_them_late_begin_nearly_full() {
+fn ledger_taken_over_late_starts_nearly_full() {
     let limit = AccountLimit {
         rate: 70_000.0,
         burst: 200_000.0,
@@ -309,7 +335,7 @@
     };
     let account = AccountKey::of("hot");
     let names: Vec<FastStr> = ["z-a", "z-b", "z-c"].map(FastStr::from).to_vec();
-    let mut let_in = 0.0;
+    let mut admitted = 0.0;
     for (index, zone) in names.iter().enumerate() {
         let mut ledger = ZoneLedger::new(index as u64 + 1, zone.clone(), TOLERANCE, Duration::ZERO);
         let others = names.iter().filter(|other| *other != zone);
@@ -318,7 +344,7 @@
             let now = Duration::from_secs(60) + Duration::from_millis(step * 10);
             ledger.note_kept(now);
             while ledger.charge(account, limit, REQUEST_UNITS, now).is_ok() {
-                let_in += REQUEST_UNITS;
+                admitted += REQUEST_UNITS;
             }
         }
     }
@@ -326,5 +352,5 @@
     // ledger.
     let left = 0.1 * (limit.burst + TOLERANCE.beyond(limit)) + 0.2 * limit.rate;
     let most = left + names.len() as f64 * REQUEST_UNITS;
-    assert!(let_in <= most, "{let_in} of {most}");
+    assert!(admitted <= most, "{admitted} of {most}");
 }
--- a/tests/limit_sim/mod.rs
+++ b/tests/limit_sim/mod.rs
@@ -14,15 +14,15 @@
 };
 
 /// Length of a step, in milliseconds.
-const STEP: u64 = 10;
+const STEP_MS: u64 = 10;
 /// Interval in milliseconds at which a host reports to its ledger, in fleets of normal and large size, and at
 /// which ledgers exchange totals. Every fifteenth exchange covers all accounts.
-const REPORT: u64 = 300;
-const REPORT_LARGE: u64 = 600;
-const SETTLE: u64 = 200;
-const WHOLE: u64 = 15;
+const REPORT_INTERVAL: u64 = 300;
+const LARGE_REPORT_INTERVAL: u64 = 600;
+const EXCHANGE_INTERVAL: u64 = 200;
+const FULL_EXCHANGES: u64 = 15;
 /// How long hosts keep asking a ledger that is gone, in milliseconds.
-const HEAD_LOSS: u64 = 900;
+const LEDGER_LOSS_TIME: u64 = 900;
 
 /// The tolerance that operators configure.
 pub const TOLERANCE: LimitTolerance = LimitTolerance {
@@ -33,11 +33,11 @@
 
 /// How requests of accounts near their limits are admitted.
 #[derive(Clone, Copy, PartialEq)]
-pub enum LimitWay {
+pub enum LimitMode {
     /// The zone's ledger is asked before each request.
-    Ask,
+    AskLedger,
     /// Each host admits the fraction of requests that it received last.
-    Thin,
+    FixedShare,
 }
 
 pub struct SimAccount {
@@ -48,14 +48,14 @@
     pub factor: f64,
     reference: RateBucket,
     // Admitted units by step.
-    let_in: Vec<(u64, f64)>,
+    admitted: Vec<(u64, f64)>,
 }
 
 struct SimHost {
     desk: AllowanceDesk,
     zone: usize,
     report_at: u64,
-    guess_until: u64,
+    estimate_until: u64,
 }
 
 /// Counts of requests and messages.
@@ -66,29 +66,29 @@
     pub within_refused: u64,
     // Units of accounts above normal demand: those that the limits cover, and those admitted.
     pub covered: f64,
-    pub let_in: f64,
+    pub admitted: f64,
     pub asks: u64,
     pub reported: u64,
-    pub sums_told: u64,
+    pub sums_sent: u64,
 }
 
 pub struct LimitSim {
     pub now: u64,
-    way: LimitWay,
+    mode: LimitMode,
     zones: usize,
     hosts: Vec<SimHost>,
     ledgers: Vec<ZoneLedger>,
     pub accounts: Vec<SimAccount>,
     directory: AccountDirectory,
     // The zone that is partitioned from the others.
-    pub cut: Option<usize>,
+    pub partition: Option<usize>,
     // Fraction of the demand in each zone.
     pub weights: Vec<f64>,
     pub counts: SimCounts,
     rng: StdRng,
-    began: u64,
+    measured_from: u64,
     // Requests due.
-    due: f64,
+    due_requests: f64,
 }
 
 fn zone_name(zone: usize) -> FastStr {
@@ -97,20 +97,20 @@
 
 impl SimAccount {
     /// Drops the record of admitted units.
-    pub fn forget_let_in(&mut self) {
-        self.let_in.clear();
+    pub fn forget_admitted(&mut self) {
+        self.admitted.clear();
     }
 }
 
 impl LimitSim {
-    /// Creates a fleet with `hosts` hosts per zone. Accounts have limits between `least` and ten times
-    /// `least`, and request the fraction `load` of them.
+    /// Creates a fleet with `hosts` hosts per zone. Accounts have limits between `least_limit` and ten times
+    /// `least_limit`, and request the fraction `load` of them.
     pub fn new(
-        way: LimitWay,
+        mode: LimitMode,
         zones: usize,
         hosts: usize,
         accounts: usize,
-        least: f64,
+        least_limit: f64,
         load: f64,
         seed: u64,
     ) -> Self {
@@ -118,7 +118,7 @@
         let mut list = Vec::new();
         let mut sims = Vec::new();
         for index in 0..accounts {
-            let rate = least * (1.0 + 9.0 / (1.0 + index as f64));
+            let rate = least_limit * (1.0 + 9.0 / (1.0 + index as f64));
             let name = FastStr::from_string(format!("account-{index}"));
             let limit = AccountLimit {
                 unit: LimitUnit::Tokens { unnamed: 200 },
@@ -131,7 +131,7 @@
                 usual: rate * load,
                 factor: 1.0,
                 reference: RateBucket::default(),
-                let_in: Vec::new(),
+                admitted: Vec::new(),
             });
             list.push(ClientAccount {
                 name,
@@ -140,28 +140,32 @@
                 limit: Some(limit),
             });
         }
-        let period = if hosts > 30 { REPORT_LARGE } else { REPORT };
+        let interval = if hosts > 30 {
+            LARGE_REPORT_INTERVAL
+        } else {
+            REPORT_INTERVAL
+        };
         let sim_hosts = (0..zones * hosts).map(|index| SimHost {
             desk: AllowanceDesk::default(),
             zone: index % zones,
-            report_at: rng.random_range(0..period),
-            guess_until: 0,
+            report_at: rng.random_range(0..interval),
+            estimate_until: 0,
         });
         let hosts = sim_hosts.collect();
         let mut sim = Self {
             now: 0,
-            way,
+            mode,
             zones,
             hosts,
             ledgers: Vec::new(),
             accounts: sims,
             directory: AccountDirectory::new(&list),
-            cut: None,
+            partition: None,
             weights: vec![1.0 / zones as f64; zones],
             counts: SimCounts::default(),
             rng,
-            began: 0,
-            due: 0.0,
+            measured_from: 0,
+            due_requests: 0.0,
         };
         for zone in 0..zones {
             sim.ledgers.push(sim.new_ledger(zone));
@@ -193,19 +197,19 @@
     }
 
     /// Like `kill_all`, but hosts serve requests for a while before ledger hosts answer.
-    pub fn kill_all_books_last(&mut self, silence: u64) {
+    pub fn kill_all_with_silent_ledgers(&mut self, silence: u64) {
         self.kill_all();
         for host in &mut self.hosts {
-            host.guess_until = self.now + silence;
+            host.estimate_until = self.now + silence;
         }
     }
 
     /// Kills a zone's ledger host, which the other hosts notice a little later.
     pub fn lose_ledger(&mut self, zone: usize) {
         self.ledgers[zone] = self.new_ledger(zone);
-        let until = self.now + HEAD_LOSS;
+        let until = self.now + LEDGER_LOSS_TIME;
         for host in self.hosts.iter_mut().filter(|host| host.zone == zone) {
-            host.guess_until = until;
+            host.estimate_until = until;
         }
     }
 
@@ -228,30 +232,33 @@
     pub fn run(&mut self, time: u64) {
         let end = self.now + time;
         while self.now < end {
-            self.settle();
+            self.exchange_totals();
             self.report();
-            self.ask_for_all();
-            self.now += STEP;
+            self.send_requests();
+            self.now += STEP_MS;
         }
     }
 
-    fn is_heard(&self, from: usize, to: usize) -> bool {
-        from == to || self.cut.is_none_or(|cut| from != cut && to != cut)
+    fn is_reachable(&self, from: usize, to: usize) -> bool {
+        from == to
+            || self
+                .partition
+                .is_none_or(|partition| from != partition && to != partition)
     }
 
-    fn settle(&mut self) {
-        if !self.now.is_multiple_of(SETTLE) {
+    fn exchange_totals(&mut self) {
+        if !self.now.is_multiple_of(EXCHANGE_INTERVAL) {
             return;
         }
         let now = self.time();
-        let is_whole = (self.now / SETTLE).is_multiple_of(WHOLE);
+        let is_whole = (self.now / EXCHANGE_INTERVAL).is_multiple_of(FULL_EXCHANGES);
         for from in 0..self.zones {
             let near = self.ledgers[from].near(&self.directory, now);
             let near: BTreeSet<AccountKey> = near.iter().map(|near| near.account).collect();
             let sums = self.ledgers[from].tell_sums(is_whole, &near, now);
-            self.counts.sums_told += sums.uses.len() as u64 * (self.zones as u64 - 1);
+            self.counts.sums_sent += sums.uses.len() as u64 * (self.zones as u64 - 1);
             for to in 0..self.zones {
-                if to != from && self.is_heard(from, to) {
+                if to != from && self.is_reachable(from, to) {
                     self.ledgers[to].take_sums(&sums, &self.directory, now);
                 }
             }
@@ -260,13 +267,15 @@
 
     fn report(&mut self) {
         let now = self.time();
-        let period = if self.hosts.len() / self.zones > 30 {
-            REPORT_LARGE
+        let interval = if self.hosts.len() / self.zones > 30 {
+            LARGE_REPORT_INTERVAL
         } else {
-            REPORT
+            REPORT_INTERVAL
         };
         for host in &mut self.hosts {
-            if self.now % period / STEP != host.report_at / STEP || self.now < host.guess_until {
+            if self.now % interval / STEP_MS != host.report_at / STEP_MS
+                || self.now < host.estimate_until
+            {
                 continue;
             }
             let ledger = &mut self.ledgers[host.zone];
@@ -284,19 +293,20 @@
     }
 
     // Sends the requests of one step. Each account's number of requests follows its part of the total demand.
-    fn ask_for_all(&mut self) {
+    fn send_requests(&mut self) {
         let mut rates = Vec::with_capacity(self.accounts.len());
-        let mut whole = 0.0;
+        let mut total_rate = 0.0;
         for account in &self.accounts {
             // Streams and small requests.
             let units = account.usual * account.factor;
-            whole += units * (0.92 / 5_300.0 + 0.08 / 200.0);
-            rates.push(whole);
+            total_rate += units * (0.92 / 5_300.0 + 0.08 / 200.0);
+            rates.push(total_rate);
         }
-        self.due += whole * STEP as f64 / 1_000.0 * self.rng.random_range(0.5..1.5);
-        while self.due >= 1.0 {
-            self.due -= 1.0;
-            let draw = self.rng.random_range(0.0..whole);
+        self.due_requests +=
+            total_rate * STEP_MS as f64 / 1_000.0 * self.rng.random_range(0.5..1.5);
+        while self.due_requests >= 1.0 {
+            self.due_requests -= 1.0;
+            let draw = self.rng.random_range(0.0..total_rate);
             let index = rates.partition_point(|rate| *rate <= draw);
             let streams = 0.92 / 5_300.0;
             let is_stream = self.rng.random_bool(streams / (streams + 0.08 / 200.0));
@@ -316,8 +326,8 @@
             draw -= self.weights[zone];
             zone += 1;
         }
-        let place = self.rng.random_range(0..self.hosts.len() / self.zones);
-        let host = place * self.zones + zone;
+        let position = self.rng.random_range(0..self.hosts.len() / self.zones);
+        let host = position * self.zones + zone;
         let account = &mut self.accounts[index];
         let bounds = BucketRate {
             rate: account.limit.rate,
@@ -325,30 +335,30 @@
         };
         let is_covered = account.reference.take(units, bounds, now).is_ok();
         let (key, limit) = (account.key, account.limit);
-        let is_let_in = self.let_in(host, key, limit, units);
+        let is_admitted = self.admit(host, key, limit, units);
         let account = &mut self.accounts[index];
-        if is_let_in {
-            account.let_in.push((self.now, units));
+        if is_admitted {
+            account.admitted.push((self.now, units));
         }
         let counts = &mut self.counts;
         if account.factor <= 1.0 {
             counts.within += u64::from(is_covered);
-            counts.within_refused += u64::from(is_covered && !is_let_in);
+            counts.within_refused += u64::from(is_covered && !is_admitted);
         } else {
             counts.covered += if is_covered { units } else { 0.0 };
-            counts.let_in += if is_let_in { units } else { 0.0 };
+            counts.admitted += if is_admitted { units } else { 0.0 };
         }
     }
 
-    fn let_in(&mut self, host: usize, key: AccountKey, limit: AccountLimit, units: f64) -> bool {
+    fn admit(&mut self, host: usize, key: AccountKey, limit: AccountLimit, units: f64) -> bool {
         let now = self.time();
         let zone = self.hosts[host].zone;
         let host = &mut self.hosts[host];
-        let is_lost = self.now < host.guess_until;
-        let share = match (host.desk.choose(key, now), self.way) {
+        let is_ledger_lost = self.now < host.estimate_until;
+        let share = match (host.desk.choose(key, now), self.mode) {
             (UseChoice::Free, _) => 1.0,
             (UseChoice::Guess(share), _) => share,
-            (UseChoice::Ask, LimitWay::Ask) if !is_lost => {
+            (UseChoice::Ask, LimitMode::AskLedger) if !is_ledger_lost => {
                 self.counts.asks += 1;
                 return self.ledgers[zone].charge(key, limit, units, now).is_ok();
             }
@@ -357,23 +367,23 @@
                 host.desk.guessed_share(key)
             }
         };
-        let is_let_in = self.rng.random_bool(share.clamp(0.0, 1.0));
-        host.desk.note(key, units, is_let_in);
-        is_let_in
+        let is_admitted = self.rng.random_bool(share.clamp(0.0, 1.0));
+        host.desk.note(key, units, is_admitted);
+        is_admitted
     }
 
     /// The highest usage of an account admitted within a window, relative to the tolerated usage.
-    pub fn worst_window(&self, index: usize) -> f64 {
+    pub fn max_window_usage(&self, index: usize) -> f64 {
         let account = &self.accounts[index];
         let window = TOLERANCE.window.as_millis() as u64;
         let allowed = account.limit.rate * 8.0 + account.limit.burst;
         let allowed = allowed * (1.0 + TOLERANCE.share) + TOLERANCE.extra;
         let mut first = 0;
         let (mut sum, mut most) = (0.0, 0.0_f64);
-        for (at, units) in &account.let_in {
+        for (at, units) in &account.admitted {
             sum += units;
-            while account.let_in[first].0 + window < *at {
-                sum -= account.let_in[first].1;
+            while account.admitted[first].0 + window < *at {
+                sum -= account.admitted[first].1;
                 first += 1;
             }
             most = most.max(sum);
@@ -381,11 +391,11 @@
         most / allowed
     }
 
-    /// The highest value of `worst_window` of all accounts.
-    pub fn worst(&self) -> f64 {
+    /// The highest value of `max_window_usage` of all accounts.
+    pub fn max_usage(&self) -> f64 {
         let indexes = 0..self.accounts.len();
         indexes
-            .map(|index| self.worst_window(index))
+            .map(|index| self.max_window_usage(index))
             .fold(0.0, f64::max)
     }
 
@@ -395,19 +405,19 @@
         let counts = std::mem::take(&mut self.counts);
         (
             counts.within_refused as f64 / counts.within.max(1) as f64,
-            counts.let_in / counts.covered.max(1.0),
+            counts.admitted / counts.covered.max(1.0),
         )
     }
 
     /// Approximate bytes per second that a host sends for requests to ledgers and reports, and that a ledger
     /// sends for totals.
-    pub fn bytes(&mut self) -> (f64, f64) {
-        let seconds = (self.now - self.began).max(1) as f64 / 1_000.0;
-        self.began = self.now;
+    pub fn bytes_per_second(&mut self) -> (f64, f64) {
+        let seconds = (self.now - self.measured_from).max(1) as f64 / 1_000.0;
+        self.measured_from = self.now;
         let counts = self.counts;
         // A request and its answer with framing; an entry of a report or of totals.
         let asked = counts.asks as f64 * 240.0 + counts.reported as f64 * 16.0;
-        let told = counts.sums_told as f64 * 16.0;
+        let told = counts.sums_sent as f64 * 16.0;
         (
             asked / seconds / self.hosts.len() as f64,
             told / seconds / self.zones as f64,
