--- a/src/route/choose.rs
+++ b/src/route/choose.rs
@@ -92,7 +92,7 @@
 }
 
 /// Converts the best of the ranked engines to entries of an explanation.
-pub fn weighed(
+pub fn explain_ranking(
     ranked: &[ScoredEngine<'_>],
     known: impl Fn(&EngineView) -> String,
 ) -> Vec<WeighedEngine> {
--- a/src/route/mod.rs
+++ b/src/route/mod.rs
@@ -1,12 +1,12 @@
 //! Routing decisions: which engines serve a request, when, and why.
 
 mod choose;
-mod desk;
 mod explain;
 mod observe;
-mod place;
+mod placement;
 mod policy;
 mod rank;
+mod scheduler;
 mod server_states;
 mod servers;
 mod shared;
@@ -15,6 +15,6 @@
 mod view;
 
 pub use self::{
-    choose::*, desk::*, explain::*, place::*, policy::*, server_states::*, servers::*, shared::*,
-    view::*,
+    choose::*, explain::*, placement::*, policy::*, scheduler::*, server_states::*, servers::*,
+    shared::*, view::*,
 };
--- a/src/route/observe.rs
+++ b/src/route/observe.rs
@@ -1,13 +1,13 @@
 //! Updates of the scheduler's engine states from reports, results and failures.
 
 use {
-    super::desk::PlaceDesk,
+    super::scheduler::PlaceDesk,
     crate::engine::{LoadReport, PrefillReply},
     std::time::Duration,
 };
 
 /// How long an engine that refused as full is avoided.
-const FULL_TIME: Duration = Duration::from_millis(40);
+const FULL_AVOID_TIME: Duration = Duration::from_millis(40);
 
 /// Consecutive failures after which an engine is ejected.
 const FAILURES_TO_EJECT: u32 = 2;
@@ -75,7 +75,7 @@
     /// Records that an engine refused a request as full.
     pub fn refused_full(&mut self, engine: &str, now: Duration) {
         if let Some(view) = self.views.get_mut(engine) {
-            view.refused_full(now + FULL_TIME);
+            view.refused_full(now + FULL_AVOID_TIME);
         }
     }
 
--- a/src/route/place.rs
+++ b/src/route/placement.rs
@@ -59,7 +59,7 @@
 }
 
 /// Result of one placement attempt.
-pub(super) enum Placement {
+pub(super) enum PlacementAttempt {
     Placed(DeskAnswer),
     // No engine has capacity now.
     Blocked,
--- a/src/route/rank.rs
+++ b/src/route/rank.rs
@@ -4,9 +4,9 @@
 use {
     super::{
         choose::{self, ScoredEngine},
-        desk::PlaceDesk,
-        place::{PlaceRequest, PlaceStage},
+        placement::{PlaceRequest, PlaceStage},
         policy::RoutePolicy,
+        scheduler::PlaceDesk,
         view::EngineView,
     },
     crate::engine::EngineRole,
@@ -21,12 +21,12 @@
 impl PlaceDesk {
     // Whether any prefill and any decode engine have capacity, regardless of pools. A cheap check before a
     // full search.
-    pub(super) fn has_any_room(&self, now: Duration) -> bool {
+    pub(super) fn has_any_capacity(&self, now: Duration) -> bool {
         let mut views = self.views.values();
-        let prefill =
-            views.any(|view| view.may_be(EngineRole::Prefill) && self.has_room(view, now));
+        let prefill = views
+            .any(|view| view.may_be(EngineRole::Prefill) && self.has_prefill_capacity(view, now));
         let mut views = self.views.values();
-        let decode = views.any(|view| view.may_be(EngineRole::Decode) && self.has_slot(view));
+        let decode = views.any(|view| view.may_be(EngineRole::Decode) && self.has_free_slot(view));
         // If all engines are ejected, the full search produces the refusal.
         (prefill && decode) || self.views.values().all(|view| view.is_out(now))
     }
@@ -91,12 +91,12 @@
     }
 
     // Whether the engine's backlog is short enough that waiting here would gain nothing.
-    pub(super) fn has_room(&self, view: &EngineView, now: Duration) -> bool {
+    pub(super) fn has_prefill_capacity(&self, view: &EngineView, now: Duration) -> bool {
         let ahead = view.backlog_tokens(&self.tuning, now) as f64 / view.rate(&self.tuning);
         ahead <= self.tuning.prefill_backlog.as_secs_f64() && !view.is_full(now)
     }
 
-    pub(super) fn has_slot(&self, view: &EngineView) -> bool {
+    pub(super) fn has_free_slot(&self, view: &EngineView) -> bool {
         let Some(total) = view.slots_total() else {
             return true;
         };
@@ -141,7 +141,7 @@
     ) -> Vec<ScoredEngine<'a>> {
         let views = self.candidates(request, role, zone, now);
         if self.tuning.policy == RoutePolicy::RoundRobin {
-            return in_turn(views, self.turn);
+            return round_robin(views, self.turn);
         }
         choose::rank(views, random, |view| match role {
             EngineRole::Prefill => self.prefill_score(request, view, now),
@@ -176,7 +176,7 @@
     }
 }
 
-fn in_turn(views: Vec<&EngineView>, turn: usize) -> Vec<ScoredEngine<'_>> {
+fn round_robin(views: Vec<&EngineView>, turn: usize) -> Vec<ScoredEngine<'_>> {
     let count = views.len().max(1);
     let mut ranked: Vec<ScoredEngine<'_>> = views
         .into_iter()
--- a/src/route/desk.rs
+++ b/src/route/scheduler.rs
@@ -6,7 +6,7 @@
     super::{
         choose::{self, ScoredEngine},
         explain::{DecisionLog, DecisionRecord, WeighedEngine},
-        place::{DeskAnswer, PlaceRequest, PlaceStage, Placement},
+        placement::{DeskAnswer, PlaceRequest, PlaceStage, PlacementAttempt},
         policy::RouteTuning,
         view::{EngineInfo, EngineView},
     },
@@ -21,10 +21,10 @@
 
 /// Number of waiting requests without capacity after which later ones are not tried, so that a full queue
 /// does not cost a search of all engines for each entry.
-const BLOCKED_MAX: usize = 6;
+const MAX_BLOCKED: usize = 6;
 
 /// Upper bound of the retry delay sent to a refused caller.
-const RETRY_AFTER_MAX: Duration = Duration::from_secs(30);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
 /// Assigns engines to waiting requests.
 #[derive(Debug)]
@@ -33,13 +33,13 @@
     pub(super) zone: FastStr,
     pub(super) views: BTreeMap<FastStr, EngineView>,
     // Links to engines that this host does not schedule but may still have to contact.
-    pub(super) others: BTreeMap<FastStr, Arc<EngineLink>>,
+    pub(super) unscheduled: BTreeMap<FastStr, Arc<EngineLink>>,
     pub(super) waiting: Vec<PlaceRequest>,
     pub(super) log: DecisionLog,
     pub(super) random: StdRng,
     pub(super) turn: usize,
     // Mean time between two placements while requests wait, in seconds.
-    pub(super) drain_gap: Option<f64>,
+    pub(super) placement_interval: Option<f64>,
     pub(super) last_placed: Option<Duration>,
 }
 
@@ -50,12 +50,12 @@
             tuning,
             zone,
             views: BTreeMap::new(),
-            others: BTreeMap::new(),
+            unscheduled: BTreeMap::new(),
             waiting: Vec::new(),
             log: DecisionLog::default(),
             random: StdRng::seed_from_u64(seed),
             turn: 0,
-            drain_gap: None,
+            placement_interval: None,
             last_placed: None,
         }
     }
@@ -88,14 +88,14 @@
 
     /// Sets the links to engines that this host does not schedule.
     pub fn set_others(&mut self, others: BTreeMap<FastStr, Arc<EngineLink>>) {
-        self.others = others;
+        self.unscheduled = others;
     }
 
     /// Returns the link to an engine, whether scheduled by this host or not. None if it is not listed.
     pub fn link(&self, engine: &str) -> Option<Arc<EngineLink>> {
         match self.views.get(engine) {
             Some(view) => Some(view.info.link.clone()),
-            None => self.others.get(engine).cloned(),
+            None => self.unscheduled.get(engine).cloned(),
         }
     }
 
@@ -166,15 +166,15 @@
         let mut answers = Vec::new();
         let mut ahead = 0;
         for request in waiting {
-            let is_whole = request.stage == PlaceStage::Whole && !request.resumed;
-            let is_hopeless = ahead >= BLOCKED_MAX || !self.has_any_room(now);
-            let answer = match is_whole && self.tuning.policy.queues_here() && is_hopeless {
-                true => self.answer_queued(&request, ahead, now),
+            let needs_both = request.stage == PlaceStage::Whole && !request.resumed;
+            let skips_search = ahead >= MAX_BLOCKED || !self.has_any_capacity(now);
+            let answer = match needs_both && self.tuning.policy.queues_here() && skips_search {
+                true => self.refuse_overdue(&request, ahead, now),
                 false => self.answer(&request, ahead, now),
             };
             match answer {
                 Some(answer) => {
-                    self.count_placement(&answer, ahead, now);
+                    self.record_placement(&answer, ahead, now);
                     answers.push((request.ticket, answer));
                 }
                 None => {
@@ -213,9 +213,9 @@
         let mut late = None;
         for zone in self.zones_to_try() {
             match self.place(request, zone, now) {
-                Placement::Placed(answer) => return Some(answer),
-                Placement::Late(by) => late = late.or(Some(by)),
-                Placement::Blocked => {}
+                PlacementAttempt::Placed(answer) => return Some(answer),
+                PlacementAttempt::Late(by) => late = late.or(Some(by)),
+                PlacementAttempt::Blocked => {}
             }
         }
         if let Some(by) = late {
@@ -225,11 +225,11 @@
             let text = format!("no backend server of model {} can take work", request.model);
             return Some(self.refuse(request, RefusalCode::NoBackend, text, now));
         }
-        self.answer_queued(request, ahead, now)
+        self.refuse_overdue(request, ahead, now)
     }
 
     // Refuses a request behind `ahead` others if it has waited, or is expected to wait, too long.
-    fn answer_queued(
+    fn refuse_overdue(
         &mut self,
         request: &PlaceRequest,
         ahead: usize,
@@ -238,7 +238,7 @@
         if !self.tuning.policy.queues_here() || request.resumed {
             return None;
         }
-        let drain = self.drain_gap.unwrap_or(0.0) * ahead as f64;
+        let drain = self.placement_interval.unwrap_or(0.0) * ahead as f64;
         let wait = drain.max(self.least_backlog(now));
         let predicted = now + Duration::from_secs_f64(wait) + self.service_time(request);
         let by = self.first_token_by(request);
@@ -256,7 +256,12 @@
         [Some(self.zone.clone()), None]
     }
 
-    fn place(&mut self, request: &PlaceRequest, zone: Option<FastStr>, now: Duration) -> Placement {
+    fn place(
+        &mut self,
+        request: &PlaceRequest,
+        zone: Option<FastStr>,
+        now: Duration,
+    ) -> PlacementAttempt {
         let mut random = StdRng::seed_from_u64(self.random.random());
         let prefills = self.rank_engines(
             request,
@@ -268,14 +273,14 @@
         let decodes =
             self.rank_engines(request, EngineRole::Decode, zone.as_ref(), now, &mut random);
         let (Some(prefill), Some(decode)) = (prefills.first(), decodes.first()) else {
-            return Placement::Blocked;
+            return PlacementAttempt::Blocked;
         };
         if self.tuning.policy.queues_here() {
             if let Some(by) = self.lateness(request, prefill, now) {
-                return Placement::Late(by);
+                return PlacementAttempt::Late(by);
             }
-            if !self.has_room(prefill.view, now) || !self.has_slot(decode.view) {
-                return Placement::Blocked;
+            if !self.has_prefill_capacity(prefill.view, now) || !self.has_free_slot(decode.view) {
+                return PlacementAttempt::Blocked;
             }
         }
         let record = self.record(request, "placed", now, &prefills, &decodes);
@@ -284,7 +289,7 @@
         self.turn += 1;
         self.log.add(record);
         self.begin(request, Some(&prefill), &decode);
-        Placement::Placed(DeskAnswer::Placed {
+        PlacementAttempt::Placed(DeskAnswer::Placed {
             prefill: Some(prefill),
             decode,
         })
@@ -326,13 +331,13 @@
         }
     }
 
-    fn count_placement(&mut self, answer: &DeskAnswer, ahead: usize, now: Duration) {
+    fn record_placement(&mut self, answer: &DeskAnswer, ahead: usize, now: Duration) {
         if !matches!(answer, DeskAnswer::Placed { .. }) {
             return;
         }
         if let (Some(last), true) = (self.last_placed, ahead + self.waiting.len() > 0) {
             let gap = now.saturating_sub(last).as_secs_f64();
-            self.drain_gap = Some(match self.drain_gap {
+            self.placement_interval = Some(match self.placement_interval {
                 Some(known) => known + 0.1 * (gap - known),
                 None => gap,
             });
@@ -356,8 +361,8 @@
             decodes: Vec::new(),
         };
         self.log.add(record);
-        let drain = self.drain_gap.unwrap_or(0.0) * self.waiting.len() as f64;
-        let wait = Duration::from_secs_f64(drain).clamp(Duration::from_secs(1), RETRY_AFTER_MAX);
+        let drain = self.placement_interval.unwrap_or(0.0) * self.waiting.len() as f64;
+        let wait = Duration::from_secs_f64(drain).clamp(Duration::from_secs(1), MAX_RETRY_AFTER);
         DeskAnswer::Refused(Refusal::not_run(code, text).after(wait))
     }
 
@@ -369,14 +374,14 @@
         prefills: &[ScoredEngine<'_>],
         decodes: &[ScoredEngine<'_>],
     ) -> DecisionRecord {
-        let prefills: Vec<WeighedEngine> = choose::weighed(prefills, |view| {
+        let prefills: Vec<WeighedEngine> = choose::explain_ranking(prefills, |view| {
             let cached = view.cached_tokens(&request.blocks);
             format!(
                 "{} tokens before it, {cached} cached",
                 view.backlog_tokens(&self.tuning, now)
             )
         });
-        let decodes: Vec<WeighedEngine> = choose::weighed(decodes, |view| {
+        let decodes: Vec<WeighedEngine> = choose::explain_ranking(decodes, |view| {
             let total = view.slots_total().unwrap_or(0);
             format!("{} of {total} slots used", view.slots_used())
         });
--- a/src/route/server_states.rs
+++ b/src/route/server_states.rs
@@ -31,7 +31,7 @@
 };
 
 // All calls have the same priority here.
-const RANK: u8 = 0;
+const CALL_PRIORITY: u8 = 0;
 
 #[derive(Debug)]
 struct KnownStates {
@@ -62,7 +62,7 @@
     }
 
     fn known(&self) -> MutexGuard<'_, KnownStates> {
-        self.known.lock().expect("server states")
+        self.known.lock().expect("server states lock")
     }
 
     /// Current time on the clock of the send times.
@@ -86,7 +86,10 @@
             LimitMark::Unsaid if ran_well => None,
             LimitMark::Unsaid => return,
             LimitMark::Unreadable => {
-                log::debug!("{} names a limit that is none", server.name);
+                log::debug!(
+                    "backend server {} sent an unreadable rate limit",
+                    server.name
+                );
                 return;
             }
         };
@@ -146,15 +149,15 @@
         let known = &mut *self.known();
         known.limits.forget_old(now);
         known.allocator.forget_old(now);
-        if known.limits.permit(server, RANK, now) == PermitState::Ask
-            && let Some(ask) = known.limits.ask(server, RANK, now)
+        if known.limits.permit(server, CALL_PRIORITY, now) == PermitState::Ask
+            && let Some(ask) = known.limits.ask(server, CALL_PRIORITY, now)
         {
             let grant = known
                 .allocator
                 .allocate_share(&ask, hosts, rand::random(), now);
-            known.limits.take_grant(server, RANK, &grant, now);
+            known.limits.take_grant(server, CALL_PRIORITY, &grant, now);
         }
-        match known.limits.permit(server, RANK, now) {
+        match known.limits.permit(server, CALL_PRIORITY, now) {
             PermitState::Free => Ok(()),
             PermitState::Held if known.limits.use_permit(server, now) => Ok(()),
             PermitState::Empty(wait) => {
--- a/src/route/servers.rs
+++ b/src/route/servers.rs
@@ -14,7 +14,7 @@
 };
 
 /// How long an unreachable server is avoided while others are available.
-const AVOID_TIME: Duration = Duration::from_secs(2);
+const UNREACHABLE_AVOID_TIME: Duration = Duration::from_secs(2);
 
 /// Identity and address of a server.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -64,7 +64,7 @@
 impl ServerBook {
     /// Replaces the list of servers and keeps the state of those that remain.
     pub fn set_servers(&self, servers: Vec<ServerInfo>) {
-        let mut views = self.views.lock().expect("server book");
+        let mut views = self.views.lock().expect("server registry lock");
         let mut known = std::mem::take(&mut *views);
         for info in servers {
             let old = known.remove(&info.name);
@@ -92,7 +92,7 @@
         in_rotation: impl Fn(&ServerInfo) -> bool,
     ) -> Option<ServerChoice> {
         let now = Instant::now();
-        let mut views = self.views.lock().expect("server book");
+        let mut views = self.views.lock().expect("server registry lock");
         let mut random = rand::rng();
         let best = views
             .values_mut()
@@ -112,21 +112,21 @@
 
     /// Returns all servers.
     pub fn servers(&self) -> Vec<ServerInfo> {
-        let views = self.views.lock().expect("server book");
+        let views = self.views.lock().expect("server registry lock");
         views.values().map(|view| view.info.clone()).collect()
     }
 
-    fn finish(&self, name: &FastStr) {
-        let mut views = self.views.lock().expect("server book");
+    fn call_ended(&self, name: &FastStr) {
+        let mut views = self.views.lock().expect("server registry lock");
         if let Some(view) = views.get_mut(name) {
             view.calls = view.calls.saturating_sub(1);
         }
     }
 
     fn avoid(&self, name: &FastStr) {
-        let mut views = self.views.lock().expect("server book");
+        let mut views = self.views.lock().expect("server registry lock");
         if let Some(view) = views.get_mut(name) {
-            view.avoid_until = Some(Instant::now() + AVOID_TIME);
+            view.avoid_until = Some(Instant::now() + UNREACHABLE_AVOID_TIME);
         }
     }
 }
@@ -158,6 +158,6 @@
 
 impl Drop for ServerChoice {
     fn drop(&mut self) {
-        self.book.finish(&self.info.name);
+        self.book.call_ended(&self.info.name);
     }
 }
--- a/src/route/shared.rs
+++ b/src/route/shared.rs
@@ -2,9 +2,9 @@
 
 use {
     super::{
-        desk::PlaceDesk,
-        place::{DeskAnswer, PlaceRequest},
+        placement::{DeskAnswer, PlaceRequest},
         policy::RouteTuning,
+        scheduler::PlaceDesk,
     },
     crate::{
         clock::HostClock,
@@ -28,14 +28,14 @@
 /// A [`PlaceDesk`] shared by tasks.
 #[derive(Debug)]
 pub struct SharedDesk {
-    inner: Mutex<DeskInner>,
+    inner: Mutex<SchedulerState>,
     clock: HostClock,
     asked: Notify,
     next_ticket: AtomicU64,
 }
 
 #[derive(Debug)]
-struct DeskInner {
+struct SchedulerState {
     desk: PlaceDesk,
     answers: HashMap<u64, oneshot::Sender<DeskAnswer>>,
 }
@@ -44,7 +44,7 @@
     /// Creates the scheduler of a host in `zone`.
     pub fn new(zone: FastStr, tuning: RouteTuning, seed: u64, clock: HostClock) -> Arc<Self> {
         Arc::new(Self {
-            inner: Mutex::new(DeskInner {
+            inner: Mutex::new(SchedulerState {
                 desk: PlaceDesk::new(zone, tuning, seed),
                 answers: HashMap::new(),
             }),
@@ -61,12 +61,12 @@
 
     /// Reads the scheduler's state.
     pub fn read<R>(&self, read: impl FnOnce(&PlaceDesk) -> R) -> R {
-        read(&self.inner.lock().expect("desk").desk)
+        read(&self.inner.lock().expect("scheduler lock").desk)
     }
 
     /// Changes the scheduler's state, then answers the waiting requests that it can.
     pub fn change<R>(&self, change: impl FnOnce(&mut PlaceDesk, Duration) -> R) -> R {
-        let mut inner = self.inner.lock().expect("desk");
+        let mut inner = self.inner.lock().expect("scheduler lock");
         // Read under the lock, so that the scheduler's time never goes backwards.
         let now = self.now();
         let result = change(&mut inner.desk, now);
@@ -82,7 +82,7 @@
 
     /// Records an observation that frees no capacity, so that no waiting request has to be retried.
     pub fn note(&self, note: impl FnOnce(&mut PlaceDesk, Duration)) {
-        let mut inner = self.inner.lock().expect("desk");
+        let mut inner = self.inner.lock().expect("scheduler lock");
         let now = self.now();
         note(&mut inner.desk, now);
     }
@@ -96,10 +96,10 @@
         let (sender, receiver) = oneshot::channel();
         self.inner
             .lock()
-            .expect("desk")
+            .expect("scheduler lock")
             .answers
             .insert(ticket, sender);
-        let mut question = OpenQuestion {
+        let mut pending = PendingRequest {
             desk: self,
             ticket,
             tokens,
@@ -107,7 +107,7 @@
         };
         self.change(|desk, _| desk.ask(request));
         self.asked.notify_one();
-        match (&mut question.receiver).await {
+        match (&mut pending.receiver).await {
             Ok(answer) => answer,
             Err(_) => {
                 let text = "the host's desk is gone";
@@ -141,11 +141,11 @@
     }
 }
 
-impl DeskInner {
-    // If the caller has stopped waiting, the drop of OpenQuestion has removed the sender.
+impl SchedulerState {
+    // If the caller has stopped waiting, the drop of PendingRequest has removed the sender.
     fn deliver(&mut self, ticket: u64, answer: DeskAnswer) {
         let sender = self.answers.remove(&ticket);
-        debug_assert!(sender.is_some(), "a question is answered once");
+        debug_assert!(sender.is_some(), "a request is answered once");
         if let Some(sender) = sender {
             // If the receiver is being dropped, its drop handles the answer.
             let _ = sender.send(answer);
@@ -153,17 +153,17 @@
     }
 }
 
-struct OpenQuestion<'a> {
+struct PendingRequest<'a> {
     desk: &'a SharedDesk,
     ticket: u64,
     tokens: u64,
     receiver: oneshot::Receiver<DeskAnswer>,
 }
 
-impl Drop for OpenQuestion<'_> {
+impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
         {
-            let mut inner = self.desk.inner.lock().expect("desk");
+            let mut inner = self.desk.inner.lock().expect("scheduler lock");
             inner.answers.remove(&self.ticket);
             inner.desk.withdraw(self.ticket);
         }
--- a/src/route/tests.rs
+++ b/src/route/tests.rs
@@ -2,9 +2,9 @@
 
 use {
     super::{
-        desk::PlaceDesk,
-        place::{DeskAnswer, PlaceRequest, PlaceStage},
+        placement::{DeskAnswer, PlaceRequest, PlaceStage},
         policy::RouteTuning,
+        scheduler::PlaceDesk,
         shared::SharedDesk,
         view::EngineInfo,
     },
@@ -86,19 +86,19 @@
 }
 
 #[test]
-fn the_least_used_decode_engine_is_chosen_and_counted_at_once() {
+fn least_used_decode_engine_is_chosen_and_counted_at_once() {
     let mut desk = desk();
     desk.ask(request(1, 100, Duration::ZERO));
     let answers = desk.pump(Duration::ZERO);
     let DeskAnswer::Placed { prefill, decode } = &answers[0].1 else {
-        panic!("placed");
+        panic!("expected a placement");
     };
     assert_eq!((prefill.as_deref(), decode.as_str()), (Some("p"), "d1"));
     assert_eq!(desk.view("d1").expect("known").slots_used(), 3);
 }
 
 #[test]
-fn what_would_be_late_is_refused_before_its_prefill() {
+fn late_request_is_refused_before_its_prefill() {
     let mut desk = desk();
     desk.reported("p", report(EngineRole::Prefill, 0, 60_000), Duration::ZERO);
     desk.ask(request(1, 100, Duration::ZERO));
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_request_waits_for_a_slot_and_takes_it_when_it_is_free() {
+fn request_waits_for_a_slot_and_takes_it_once_free() {
     let mut desk = desk();
     for engine in ["d1", "d2"] {
         desk.reported(engine, report(EngineRole::Decode, 20, 0), Duration::ZERO);
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_leaving_engine_is_not_chosen() {
+fn leaving_engine_is_not_chosen() {
     let mut desk = desk();
     desk.set_leaving("d1", true);
     desk.heard_leaving("d2", Duration::from_secs(5));
@@ -134,7 +134,7 @@
 // Guards against a scheduler whose time goes backwards, which happened under `bayplank load --streams 5000`
 // when the clock was read before the lock was taken.
 #[test]
-fn a_pump_with_an_earlier_time_than_the_last_does_no_harm() {
+fn scheduling_with_an_earlier_time_is_harmless() {
     let mut desk = desk();
     for (ticket, at) in [(1, 20), (2, 10), (3, 15)] {
         let now = Duration::from_millis(at);
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn who_stops_waiting_leaves_nothing_behind() {
+fn cancelled_wait_releases_everything() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
@@ -163,7 +163,7 @@
         });
         let asked = shared.ask(request(0, 100, Duration::ZERO));
         let waited = tokio::time::timeout(Duration::from_millis(50), asked).await;
-        assert!(waited.is_err(), "no slot is free");
+        assert!(waited.is_err(), "no decode slot is free");
         shared.read(|desk| {
             assert_eq!(desk.waiting(), 0);
             assert_eq!(desk.view("p").expect("known").own_work(), (0, 0));
--- a/src/route/view.rs
+++ b/src/route/view.rs
@@ -12,10 +12,10 @@
 };
 
 /// Weight of a new sample in a moving average.
-const MEAN_WEIGHT: f64 = 0.2;
+const SAMPLE_WEIGHT: f64 = 0.2;
 
 /// How long a measured gap between tokens is valid.
-const GAP_LIFE: Duration = Duration::from_secs(3);
+const GAP_MAX_AGE: Duration = Duration::from_secs(3);
 
 /// Identity and address of an engine.
 #[derive(Debug, Clone)]
@@ -46,13 +46,13 @@
     own_prefills: u32,
     own_decodes: u32,
     // This host's own work that the last report may include.
-    own_tokens_reported: u64,
-    own_decodes_reported: u32,
+    own_tokens_in_report: u64,
+    own_decodes_in_report: u32,
     rate: Option<f64>,
     kv_per_token: Option<f64>,
     token_gap: Option<(f64, Duration)>,
     failures: u32,
-    out_until: Duration,
+    ejected_until: Duration,
     full_until: Duration,
     prefixes: PrefixIndex,
 }
@@ -69,13 +69,13 @@
             own_prefill_tokens: 0,
             own_prefills: 0,
             own_decodes: 0,
-            own_tokens_reported: 0,
-            own_decodes_reported: 0,
+            own_tokens_in_report: 0,
+            own_decodes_in_report: 0,
             rate: None,
             kv_per_token: None,
             token_gap: None,
             failures: 0,
-            out_until: Duration::ZERO,
+            ejected_until: Duration::ZERO,
             full_until: Duration::ZERO,
             prefixes: PrefixIndex::new(tuning.prefix_blocks),
         }
@@ -84,8 +84,8 @@
     /// Stores a load report.
     pub fn reported(&mut self, report: LoadReport, now: Duration) {
         self.reported_at = Some(now);
-        self.own_tokens_reported = self.own_prefill_tokens;
-        self.own_decodes_reported = self.own_decodes;
+        self.own_tokens_in_report = self.own_prefill_tokens;
+        self.own_decodes_in_report = self.own_decodes;
         self.report = Some(report);
     }
 
@@ -115,7 +115,7 @@
         let fits = self.report.as_ref().is_none_or(|report| {
             report.role == role && report.models.iter().any(|loaded| loaded == model)
         });
-        !leaving && fits && now >= self.out_until
+        !leaving && fits && now >= self.ejected_until
     }
 
     /// Whether the engine has this role or has not reported one yet.
@@ -127,12 +127,12 @@
 
     /// Whether the engine is ejected because of failures or as an outlier.
     pub fn is_out(&self, now: Duration) -> bool {
-        now < self.out_until
+        now < self.ejected_until
     }
 
     /// Ejects the engine until `until`.
     pub fn eject(&mut self, until: Duration) {
-        self.out_until = self.out_until.max(until);
+        self.ejected_until = self.ejected_until.max(until);
     }
 
     /// Records a call that failed without an answer and returns the number of consecutive failures.
@@ -162,7 +162,7 @@
     pub fn prefill_ended(&mut self, tokens: u64) {
         self.own_prefill_tokens -= tokens;
         self.own_prefills -= 1;
-        self.own_tokens_reported = self.own_tokens_reported.saturating_sub(tokens);
+        self.own_tokens_in_report = self.own_tokens_in_report.saturating_sub(tokens);
         if let Some(report) = &mut self.report {
             report.queued_tokens = report.queued_tokens.saturating_sub(tokens);
         }
@@ -187,7 +187,7 @@
     /// Records that a decode slot was released or not used.
     pub fn decode_ended(&mut self) {
         self.own_decodes = self.own_decodes.saturating_sub(1);
-        self.own_decodes_reported = self.own_decodes_reported.saturating_sub(1);
+        self.own_decodes_in_report = self.own_decodes_in_report.saturating_sub(1);
         if let Some(report) = &mut self.report {
             report.slots_used = report.slots_used.saturating_sub(1);
         }
@@ -204,7 +204,7 @@
     /// Moving average of the gap between tokens, in seconds, if measured recently.
     pub fn token_gap(&self, now: Duration) -> Option<f64> {
         let (gap, at) = self.token_gap?;
-        (now < at + GAP_LIFE).then_some(gap)
+        (now < at + GAP_MAX_AGE).then_some(gap)
     }
 
     /// Prefill rate in tokens per second.
@@ -216,7 +216,7 @@
     /// has computed since.
     pub fn backlog_tokens(&self, tuning: &RouteTuning, now: Duration) -> u64 {
         let reported = self.reported_tokens();
-        let others = reported.saturating_sub(self.own_tokens_reported);
+        let others = reported.saturating_sub(self.own_tokens_in_report);
         let age = now.saturating_sub(self.reported_at.unwrap_or(now));
         let worked_off = (age.as_secs_f64() * self.rate(tuning)) as u64;
         others.saturating_sub(worked_off) + self.own_prefill_tokens
@@ -232,7 +232,7 @@
     /// Decode slots in use: those of other hosts as reported plus those of this host.
     pub fn slots_used(&self) -> u32 {
         let reported = self.report.as_ref().map_or(0, |report| report.slots_used);
-        let others = reported.saturating_sub(self.own_decodes_reported);
+        let others = reported.saturating_sub(self.own_decodes_in_report);
         others + self.own_decodes
     }
 
@@ -264,7 +264,7 @@
 
 fn mean(known: Option<f64>, new: f64) -> f64 {
     match known {
-        Some(known) => known + MEAN_WEIGHT * (new - known),
+        Some(known) => known + SAMPLE_WEIGHT * (new - known),
         None => new,
     }
 }
