--- a/src/account/directory.rs
+++ b/src/account/directory.rs
@@ -44,7 +44,7 @@
     }
 
     /// Returns the account that owns a key.
-    pub fn holder(&self, key: &KeyHash) -> Option<Rc<ClientAccount>> {
+    pub fn owner(&self, key: &KeyHash) -> Option<Rc<ClientAccount>> {
         self.by_key.get(key).cloned()
     }
 
--- a/src/account/key.rs
+++ b/src/account/key.rs
@@ -55,12 +55,12 @@
 
 /// The API key that a request presents, if any.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum ShownKey {
+pub enum PresentedKey {
     /// No key.
     #[default]
     None,
     /// Exactly one key.
     One(KeyHash),
     /// Several keys, so that it is ambiguous which one applies.
-    Several,
+    Multiple,
 }
--- a/src/account/key_status.rs
+++ b/src/account/key_status.rs
@@ -8,7 +8,7 @@
 //! the process was suspended. Hosts pass this time on and never replace it by a later one.
 
 use {
-    super::{client_account::ClientAccount, directory::AccountDirectory, key::ShownKey},
+    super::{client_account::ClientAccount, directory::AccountDirectory, key::PresentedKey},
     std::{rc::Rc, time::Duration},
 };
 
@@ -36,59 +36,59 @@
 
 impl KeyRules {
     /// Maximum age of a proof that still admits requests.
-    pub fn proof_life(&self) -> Option<Duration> {
+    pub fn max_proof_age(&self) -> Option<Duration> {
         let time = self.revoke_time?.mul_f64(1.0 - CLOCK_MARGIN);
         Some(time.saturating_sub(WATCH_MARGIN))
     }
 
     /// Interval at which a proof is renewed.
-    pub fn renew_time(&self) -> Option<Duration> {
-        Some(self.proof_life()?.mul_f64(RENEWAL_FRACTION))
+    pub fn renewal_interval(&self) -> Option<Duration> {
+        Some(self.max_proof_age()?.mul_f64(RENEWAL_FRACTION))
     }
 }
 
 /// Result of checking a presented key.
 #[derive(Debug, Clone, PartialEq)]
-pub enum KeyStanding {
+pub enum KeyStatus {
     /// The key is valid and belongs to this account.
     Account(Rc<ClientAccount>),
     /// No key is required, and no valid one was presented.
-    Open,
+    NotRequired,
     /// The key is missing or not in the configuration.
     Unknown,
     /// This host's configuration may be outdated, so the key cannot be checked.
-    Unsure,
+    Unverified,
 }
 
 /// Checks the key that a request presents. `accounts` is none if the active configuration defines no
 /// accounts; `proof` is the time since the configuration was confirmed to be the newest.
-pub fn judge_key(
+pub fn check_key(
     accounts: Option<&AccountDirectory>,
-    shown: ShownKey,
+    presented: PresentedKey,
     is_public: bool,
     proof: Option<Duration>,
     rules: &KeyRules,
-) -> KeyStanding {
+) -> KeyStatus {
     let Some(accounts) = accounts else {
-        return KeyStanding::Open;
+        return KeyStatus::NotRequired;
     };
-    let holder = match shown {
-        ShownKey::One(key) => accounts.holder(&key),
-        ShownKey::None | ShownKey::Several => None,
+    let owner = match presented {
+        PresentedKey::One(key) => accounts.owner(&key),
+        PresentedKey::None | PresentedKey::Multiple => None,
     };
     if is_public {
-        return holder.map_or(KeyStanding::Open, KeyStanding::Account);
+        return owner.map_or(KeyStatus::NotRequired, KeyStatus::Account);
     }
     let is_within = |life: Duration| proof.is_some_and(|age| age < life);
-    match holder {
-        Some(account) => match rules.proof_life().is_none_or(is_within) {
-            true => KeyStanding::Account(account),
-            false => KeyStanding::Unsure,
+    match owner {
+        Some(account) => match rules.max_proof_age().is_none_or(is_within) {
+            true => KeyStatus::Account(account),
+            false => KeyStatus::Unverified,
         },
         // The key may have been added since. A final refusal requires a recent proof.
-        None if matches!(shown, ShownKey::One(_)) && !is_within(rules.apply_time) => {
-            KeyStanding::Unsure
+        None if matches!(presented, PresentedKey::One(_)) && !is_within(rules.apply_time) => {
+            KeyStatus::Unverified
         }
-        None => KeyStanding::Unknown,
+        None => KeyStatus::Unknown,
     }
 }
--- a/src/relay/dialect.rs
+++ b/src/relay/dialect.rs
@@ -8,7 +8,7 @@
         server_limit::LimitMark,
         server_marks::{BackoffMark, LeavingMark, ServerMarks},
     },
-    crate::{account::ShownKey, engine::EngineRole, web::PoolUse},
+    crate::{account::PresentedKey, engine::EngineRole, web::PoolUse},
     bytes::Bytes,
     faststr::FastStr,
     http::{HeaderMap, HeaderName, HeaderValue, Method, StatusCode, header},
@@ -31,7 +31,7 @@
     /// Id of the last event that the caller received.
     pub last_event: Option<FastStr>,
     /// The API key that the request carries.
-    pub key: ShownKey,
+    pub key: PresentedKey,
     /// Id of the prompt's last part, which belongs to this request or to its session. Engines use it as the key of
     /// what they cache of the prompt.
     pub last_part: Option<FastStr>,
--- a/src/relay/news/feed.rs
+++ b/src/relay/news/feed.rs
@@ -330,7 +330,7 @@
             .parts
             .routes()
             .is_some_and(|routes| routes.accounts().is_some());
-        let renewed = self.parts.settings.bounds.keys.renew_time();
+        let renewed = self.parts.settings.bounds.keys.renewal_interval();
         match renewed.filter(|_| has_accounts) {
             Some(time) => time.min(self.watch_time()),
             None => self.watch_time(),
--- a/src/relay/parts/accounts.rs
+++ b/src/relay/parts/accounts.rs
@@ -5,7 +5,7 @@
     crate::{
         account::{
             self, AccountDirectory, AccountKey, AccountLimit, AccountUse, AllowanceDesk,
-            ClientAccount, KeyStanding, LedgerSums, ShownKey, UseChoice, UseReport, ZoneLedger,
+            ClientAccount, KeyStatus, LedgerSums, PresentedKey, UseChoice, UseReport, ZoneLedger,
         },
         operation::{Refusal, RefusalCode},
         relay::config::RelayRoute,
@@ -82,15 +82,15 @@
     pub fn identify(
         &self,
         route: &RelayRoute,
-        shown: ShownKey,
+        shown: PresentedKey,
     ) -> Result<Option<Rc<ClientAccount>>, Refusal> {
         let routes = self.routes();
         let accounts = routes.as_ref().and_then(|routes| routes.accounts());
         let proof = self.cluster.borrow().proof_age(self.now());
         let rules = &self.settings.bounds.keys;
-        match account::judge_key(accounts, shown, route.is_public, proof, rules) {
-            KeyStanding::Account(account) => {
-                let life = rules.proof_life();
+        match account::check_key(accounts, shown, route.is_public, proof, rules) {
+            KeyStatus::Account(account) => {
+                let life = rules.max_proof_age();
                 let is_proved = life.is_none_or(|life| proof.is_some_and(|age| age < life));
                 assert!(
                     is_proved || route.is_public,
@@ -98,12 +98,12 @@
                 );
                 Ok(Some(account))
             }
-            KeyStanding::Open => Ok(None),
-            KeyStanding::Unknown => Err(Refusal::not_run(
+            KeyStatus::NotRequired => Ok(None),
+            KeyStatus::Unknown => Err(Refusal::not_run(
                 RefusalCode::UnknownCaller,
                 "no key in force was shown",
             )),
-            KeyStanding::Unsure => {
+            KeyStatus::Unverified => {
                 self.metrics.unsure_keys.inc();
                 let age = proof.map_or(-1, |age| age.as_millis() as i64);
                 let text = format!(
--- a/tests/account_keys.rs
+++ b/tests/account_keys.rs
@@ -6,7 +6,7 @@
     crate::fleet_sim::{STEP, SimFleet, SimTrouble},
     bayplank::{
         account::{
-            AccountDirectory, ClientAccount, KeyHash, KeyRules, KeyStanding, ShownKey, judge_key,
+            AccountDirectory, ClientAccount, KeyHash, KeyRules, KeyStatus, PresentedKey, check_key,
         },
         relay::{ClusterNews, ClusterState, PastTime},
     },
@@ -33,13 +33,13 @@
     }
 }
 
-fn shown(key: &str) -> ShownKey {
-    ShownKey::One(KeyHash::of(key.as_bytes()))
+fn shown(key: &str) -> PresentedKey {
+    PresentedKey::One(KeyHash::of(key.as_bytes()))
 }
 
-fn judge(directory: &AccountDirectory, shown: ShownKey, proof: Option<u64>) -> KeyStanding {
+fn status_of(directory: &AccountDirectory, shown: PresentedKey, proof: Option<u64>) -> KeyStatus {
     let proof = proof.map(Duration::from_millis);
-    judge_key(Some(directory), shown, false, proof, &rules())
+    check_key(Some(directory), shown, false, proof, &rules())
 }
 
 #[test]
@@ -63,56 +63,56 @@
         account("b", &["k-2", "both"]),
         account("c", &[]),
     ]);
-    let holder = |key: &str| match judge(&directory, shown(key), Some(100)) {
-        KeyStanding::Account(account) => account.name.to_string(),
+    let owner = |key: &str| match status_of(&directory, shown(key), Some(100)) {
+        KeyStatus::Account(account) => account.name.to_string(),
         other => format!("{other:?}"),
     };
-    assert_eq!((holder("k-1"), holder("k-2")), ("a".into(), "b".into()));
-    assert_eq!(holder("both"), "Unknown");
-    assert_eq!(holder("K-1"), "Unknown");
-    for shown in [ShownKey::None, ShownKey::Several] {
-        assert_eq!(judge(&directory, shown, Some(100)), KeyStanding::Unknown);
+    assert_eq!((owner("k-1"), owner("k-2")), ("a".into(), "b".into()));
+    assert_eq!(owner("both"), "Unknown");
+    assert_eq!(owner("K-1"), "Unknown");
+    for shown in [PresentedKey::None, PresentedKey::Multiple] {
+        assert_eq!(status_of(&directory, shown, Some(100)), KeyStatus::Unknown);
     }
 }
 
 #[test]
 fn key_checks_need_a_recent_proof_of_the_configuration() {
     let directory = AccountDirectory::new(&[account("a", &["k-1"])]);
-    let max_age = rules().proof_life().unwrap().as_millis() as u64;
+    let max_age = rules().max_proof_age().unwrap().as_millis() as u64;
     assert!(
         max_age < REVOKE_TIME_MS - 1_000,
         "the state seen through a silent watch may be a second old"
     );
-    let known = |proof| judge(&directory, shown("k-1"), proof);
-    assert!(matches!(known(Some(max_age - 1)), KeyStanding::Account(_)));
+    let known = |proof| status_of(&directory, shown("k-1"), proof);
+    assert!(matches!(known(Some(max_age - 1)), KeyStatus::Account(_)));
     for proof in [Some(max_age), Some(60_000), None] {
-        assert_eq!(known(proof), KeyStanding::Unsure);
+        assert_eq!(known(proof), KeyStatus::Unverified);
     }
-    let unknown = |proof| judge(&directory, shown("k-2"), proof);
-    assert_eq!(unknown(Some(2_999)), KeyStanding::Unknown);
+    let unknown = |proof| status_of(&directory, shown("k-2"), proof);
+    assert_eq!(unknown(Some(2_999)), KeyStatus::Unknown);
     for proof in [Some(3_000), None] {
-        assert_eq!(unknown(proof), KeyStanding::Unsure, "the key may be new");
+        assert_eq!(unknown(proof), KeyStatus::Unverified, "the key may be new");
     }
     // A request without a key would be refused by a newer configuration too.
     assert_eq!(
-        judge(&directory, ShownKey::None, None),
-        KeyStanding::Unknown
+        status_of(&directory, PresentedKey::None, None),
+        KeyStatus::Unknown
     );
 }
 
 #[test]
 fn public_routes_need_no_key_and_an_empty_account_list_rejects_all() {
     let directory = AccountDirectory::new(&[account("a", &["k-1"])]);
-    let public = |shown| judge_key(Some(&directory), shown, true, None, &rules());
-    assert_eq!(public(ShownKey::None), KeyStanding::Open);
-    assert_eq!(public(shown("k-2")), KeyStanding::Open);
-    assert!(matches!(public(shown("k-1")), KeyStanding::Account(_)));
+    let public = |shown| check_key(Some(&directory), shown, true, None, &rules());
+    assert_eq!(public(PresentedKey::None), KeyStatus::NotRequired);
+    assert_eq!(public(shown("k-2")), KeyStatus::NotRequired);
+    assert!(matches!(public(shown("k-1")), KeyStatus::Account(_)));
     let none = AccountDirectory::new(&[]);
-    assert_eq!(judge(&none, shown("k-1"), Some(1)), KeyStanding::Unknown);
-    let open = judge_key(None, ShownKey::None, false, None, &rules());
+    assert_eq!(status_of(&none, shown("k-1"), Some(1)), KeyStatus::Unknown);
+    let open = check_key(None, PresentedKey::None, false, None, &rules());
     assert_eq!(
         open,
-        KeyStanding::Open,
+        KeyStatus::NotRequired,
         "without an account list no key is needed"
     );
 }
@@ -164,7 +164,7 @@
     time: u64,
     acknowledged: &mut Vec<(u64, u64)>,
 ) -> f64 {
-    let max_age = rules().proof_life().unwrap().as_millis() as u64;
+    let max_age = rules().max_proof_age().unwrap().as_millis() as u64;
     let start = fleet.now;
     let (mut admitting, mut all) = (0_u64, 0_u64);
     while fleet.now < start + time {
