--- a/src/account/admission.rs
+++ b/src/account/admission.rs
@@ -23,13 +23,13 @@
 
 /// How a request is admitted.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum UseChoice {
+pub enum AdmissionMode {
     /// At once, since the account is far below its limit.
-    Free,
+    Immediate,
     /// If the zone's ledger agrees.
-    Ask,
+    AskLedger,
     /// With this probability, since the ledger does not answer.
-    Guess(f64),
+    Estimate(f64),
 }
 
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -40,64 +40,66 @@
 
 /// A host's data on account usage, by which it admits requests.
 #[derive(Debug, Default)]
-pub struct AllowanceDesk {
+pub struct AccountAdmission {
     unreported: BTreeMap<AccountKey, UnreportedUse>,
     near: BTreeMap<AccountKey, f64>,
     near_received: Option<Duration>,
     unanswered_until: Duration,
 }
 
-impl AllowanceDesk {
+impl AccountAdmission {
     /// Decides how a request of an account is admitted.
-    pub fn choose(&self, account: AccountKey, now: Duration) -> UseChoice {
+    pub fn choose(&self, account: AccountKey, now: Duration) -> AdmissionMode {
         let has_list = self
             .near_received
             .is_some_and(|at| now.saturating_sub(at) < NEAR_MAX_AGE);
         let near = self.near.get(&account);
         match near {
-            None if has_list => UseChoice::Free,
-            _ if now < self.unanswered_until => UseChoice::Guess(self.guessed_share(account)),
-            _ => UseChoice::Ask,
+            None if has_list => AdmissionMode::Immediate,
+            _ if now < self.unanswered_until => {
+                AdmissionMode::Estimate(self.estimated_share(account))
+            }
+            _ => AdmissionMode::AskLedger,
         }
     }
 
     /// Whether no ledger has sent this host a list of accounts yet.
-    pub fn is_untold(&self) -> bool {
+    pub fn lacks_usage_data(&self) -> bool {
         self.near_received.is_none()
     }
 
     /// Fraction of an account's requests to admit when the ledger cannot be asked.
-    pub fn guessed_share(&self, account: AccountKey) -> f64 {
-        let usual = match self.is_untold() {
+    pub fn estimated_share(&self, account: AccountKey) -> f64 {
+        let default_share = match self.lacks_usage_data() {
             true => INITIAL_SHARE,
             false => 1.0,
         };
-        self.near.get(&account).copied().unwrap_or(usual)
+        self.near.get(&account).copied().unwrap_or(default_share)
     }
 
     /// Records that the ledger did not answer.
-    pub fn note_silent(&mut self, now: Duration) {
+    pub fn record_no_answer(&mut self, now: Duration) {
         self.unanswered_until = now + UNANSWERED_TIME;
     }
 
     /// Records a request of `units` that was admitted or refused without the ledger.
-    pub fn note(&mut self, account: AccountKey, units: f64, is_let_in: bool) {
+    pub fn record(&mut self, account: AccountKey, units: f64, is_admitted: bool) {
         let unreported = self.unreported.entry(account).or_default();
         let units = units.round() as u32;
         unreported.asked = unreported.asked.wrapping_add(units);
-        if is_let_in {
+        if is_admitted {
             unreported.taken = unreported.taken.wrapping_add(units);
         }
     }
 
     /// Refunds an admitted request that certainly did not run.
-    pub fn give_back(&mut self, account: AccountKey, units: f64) {
+    pub fn refund(&mut self, account: AccountKey, units: f64) {
         let unreported = self.unreported.entry(account).or_default();
         unreported.taken = unreported.taken.wrapping_sub(units.round() as u32);
     }
 
     /// Takes the usage to report and marks it as reported.
-    pub fn take_untold(&mut self) -> Vec<AccountUse> {
+    pub fn take_unreported(&mut self) -> Vec<AccountUse> {
         let unreported = std::mem::take(&mut self.unreported).into_iter();
         unreported
             .map(|(account, usage)| AccountUse {
@@ -110,7 +112,7 @@
     }
 
     /// Restores usage whose report was not delivered, so that it is reported again.
-    pub fn put_back(&mut self, uses: Vec<AccountUse>) {
+    pub fn restore_unreported(&mut self, uses: Vec<AccountUse>) {
         for used in uses {
             let unreported = self.unreported.entry(used.account).or_default();
             unreported.asked = unreported.asked.wrapping_add(used.asked);
@@ -120,7 +122,7 @@
 
     /// Sets the accounts near their limits as received from the zone's ledger, which sends none during its
     /// warm-up.
-    pub fn set_near(&mut self, near: Option<&[NearAccount]>, now: Duration) {
+    pub fn set_near_limit(&mut self, near: Option<&[NearAccount]>, now: Duration) {
         let Some(near) = near else { return };
         let shares = near.iter().map(|near| (near.account, near.share));
         self.near = shares.collect();
--- a/src/relay/parts/accounts.rs
+++ b/src/relay/parts/accounts.rs
@@ -4,8 +4,9 @@
     super::{metric_labels::LimitEnd, shared::RelayParts},
     crate::{
         account::{
-            self, AccountDirectory, AccountKey, AccountLimit, AccountUse, AllowanceDesk,
-            ClientAccount, KeyStatus, LedgerSums, PresentedKey, UseChoice, UseReport, ZoneLedger,
+            self, AccountAdmission, AccountDirectory, AccountKey, AccountLimit, AccountUse,
+            AdmissionMode, ClientAccount, KeyStatus, LedgerSums, PresentedKey, UseReport,
+            ZoneLedger,
         },
         operation::{Refusal, RefusalCode},
         relay::config::RelayRoute,
@@ -51,7 +52,7 @@
 
 /// The use of client accounts, as far as this host has to do with it.
 pub struct AccountGate {
-    desk: RefCell<AllowanceDesk>,
+    desk: RefCell<AccountAdmission>,
     ledger: RefCell<ZoneLedger>,
     ask: RefCell<Option<Rc<LedgerAsk>>>,
 }
@@ -135,9 +136,9 @@
             .borrow()
             .choose(charge.account, self.now());
         let is_let_in = match choice {
-            UseChoice::Free => self.guess(charge, 1.0),
-            UseChoice::Guess(share) => self.guess(charge, share),
-            UseChoice::Ask => match self.ask_ledger(charge, limit, target).await {
+            AdmissionMode::Immediate => self.guess(charge, 1.0),
+            AdmissionMode::Estimate(share) => self.guess(charge, share),
+            AdmissionMode::AskLedger => match self.ask_ledger(charge, limit, target).await {
                 Ok(answer) => answer,
                 Err(share) => self.guess(charge, share),
             },
@@ -163,7 +164,7 @@
     fn guess(&self, charge: UseCharge, share: f64) -> Result<(), Duration> {
         let is_let_in = rand::random_bool(share.clamp(0.0, 1.0));
         let mut desk = self.accounts.desk.borrow_mut();
-        desk.note(charge.account, charge.units, is_let_in);
+        desk.record(charge.account, charge.units, is_let_in);
         match is_let_in {
             true => Ok(()),
             false => Err(Duration::from_secs(1)),
@@ -178,7 +179,7 @@
         target: Duration,
     ) -> Result<Result<(), Duration>, f64> {
         let patience = target.mul_f64(ASK_SHARE).min(ASK_LONGEST);
-        let is_untold = self.accounts.desk.borrow().is_untold();
+        let is_untold = self.accounts.desk.borrow().lacks_usage_data();
         let keepers = if is_untold { OWNERS_ASKED } else { 1 };
         for _ in 0..keepers {
             let asked = self.ask_owner(charge, limit, patience).await?;
@@ -187,8 +188,8 @@
             }
         }
         let mut desk = self.accounts.desk.borrow_mut();
-        desk.note_silent(self.now());
-        Err(desk.guessed_share(charge.account))
+        desk.record_no_answer(self.now());
+        Err(desk.estimated_share(charge.account))
     }
 
     // Asks whoever keeps the zone's books now; none where that one does not answer.
@@ -204,7 +205,7 @@
         let Some(asking) = asking else {
             // Any host may keep the zone's books: each of them would let in what is left of a limit.
             if !self.cluster.borrow().hosts_position().is_known() {
-                return Err(self.accounts.desk.borrow().guessed_share(charge.account));
+                return Err(self.accounts.desk.borrow().estimated_share(charge.account));
             }
             let now = self.now();
             let mut ledger = self.accounts.ledger.borrow_mut();
@@ -226,7 +227,7 @@
 
     /// Whether this host was told nothing yet of the use of accounts.
     pub fn is_untold_of_use(&self) -> bool {
-        self.accounts.desk.borrow().is_untold()
+        self.accounts.desk.borrow().lacks_usage_data()
     }
 
     /// A request that was let in has certainly not run.
@@ -234,23 +235,23 @@
         self.metrics
             .limited(account, charge.units, LimitEnd::GivenBack);
         let mut desk = self.accounts.desk.borrow_mut();
-        desk.give_back(charge.account, charge.units);
+        desk.refund(charge.account, charge.units);
     }
 
     /// What this host let in by itself since it last told.
     pub fn untold_uses(&self) -> Vec<AccountUse> {
-        self.accounts.desk.borrow_mut().take_untold()
+        self.accounts.desk.borrow_mut().take_unreported()
     }
 
     /// What was to be told did not arrive.
     pub fn put_back_uses(&self, uses: Vec<AccountUse>) {
-        self.accounts.desk.borrow_mut().put_back(uses);
+        self.accounts.desk.borrow_mut().restore_unreported(uses);
     }
 
     /// Takes what the zone's ledger tells of accounts.
     pub fn take_near(&self, report: &UseReport) {
         let mut desk = self.accounts.desk.borrow_mut();
-        desk.set_near(report.near.as_deref(), self.now());
+        desk.set_near_limit(report.near.as_deref(), self.now());
     }
 }
 
--- a/tests/limit_sim/mod.rs
+++ b/tests/limit_sim/mod.rs
@@ -5,8 +5,8 @@
 
 use {
     bayplank::account::{
-        AccountDirectory, AccountKey, AccountLimit, AllowanceDesk, BucketRate, ClientAccount,
-        LimitTolerance, LimitUnit, RateBucket, UseChoice, ZoneLedger,
+        AccountAdmission, AccountDirectory, AccountKey, AccountLimit, AdmissionMode, BucketRate,
+        ClientAccount, LimitTolerance, LimitUnit, RateBucket, ZoneLedger,
     },
     faststr::FastStr,
     rand::{RngExt, SeedableRng, rngs::StdRng},
@@ -52,7 +52,7 @@
 }
 
 struct SimHost {
-    desk: AllowanceDesk,
+    admission: AccountAdmission,
     zone: usize,
     report_at: u64,
     estimate_until: u64,
@@ -146,7 +146,7 @@
             REPORT_INTERVAL
         };
         let sim_hosts = (0..zones * hosts).map(|index| SimHost {
-            desk: AllowanceDesk::default(),
+            admission: AccountAdmission::default(),
             zone: index % zones,
             report_at: rng.random_range(0..interval),
             estimate_until: 0,
@@ -192,7 +192,7 @@
             self.ledgers[zone] = self.new_ledger(zone);
         }
         for host in &mut self.hosts {
-            host.desk = AllowanceDesk::default();
+            host.admission = AccountAdmission::default();
         }
     }
 
@@ -279,7 +279,7 @@
                 continue;
             }
             let ledger = &mut self.ledgers[host.zone];
-            for used in host.desk.take_untold() {
+            for used in host.admission.take_unreported() {
                 self.counts.reported += 1;
                 if let Some(limit) = self.directory.account(used.account).unwrap().limit {
                     ledger.note(used, limit, now);
@@ -287,7 +287,7 @@
             }
             if ledger.is_settled(now) {
                 let near = ledger.near(&self.directory, now);
-                host.desk.set_near(Some(near), now);
+                host.admission.set_near_limit(Some(near), now);
             }
         }
     }
@@ -355,20 +355,20 @@
         let zone = self.hosts[host].zone;
         let host = &mut self.hosts[host];
         let is_ledger_lost = self.now < host.estimate_until;
-        let share = match (host.desk.choose(key, now), self.mode) {
-            (UseChoice::Free, _) => 1.0,
-            (UseChoice::Guess(share), _) => share,
-            (UseChoice::Ask, LimitMode::AskLedger) if !is_ledger_lost => {
+        let share = match (host.admission.choose(key, now), self.mode) {
+            (AdmissionMode::Immediate, _) => 1.0,
+            (AdmissionMode::Estimate(share), _) => share,
+            (AdmissionMode::AskLedger, LimitMode::AskLedger) if !is_ledger_lost => {
                 self.counts.asks += 1;
                 return self.ledgers[zone].charge(key, limit, units, now).is_ok();
             }
-            (UseChoice::Ask, _) => {
-                host.desk.note_silent(now);
-                host.desk.guessed_share(key)
+            (AdmissionMode::AskLedger, _) => {
+                host.admission.record_no_answer(now);
+                host.admission.estimated_share(key)
             }
         };
         let is_admitted = self.rng.random_bool(share.clamp(0.0, 1.0));
-        host.desk.note(key, units, is_admitted);
+        host.admission.record(key, units, is_admitted);
         is_admitted
     }
 
