--- a/src/account/ledger.rs
+++ b/src/account/ledger.rs
@@ -136,7 +136,7 @@
     }
 
     /// Records usage that a host admitted without asking, or that was refunded to it.
-    pub fn note(&mut self, used: AccountUse, limit: AccountLimit, now: Duration) {
+    pub fn record_use(&mut self, used: AccountUse, limit: AccountLimit, now: Duration) {
         let reserved = self.reserve(used.account, limit, now);
         let rate = self.own_rate(limit, &reserved, now);
         let usage = self.usage_mut(used.account, limit, now);
@@ -157,8 +157,8 @@
     /// With the host's start as the reference, all earlier usage would count as drained. When the keepers of
     /// three zones were killed, each new one admitted a third of the burst again: 222,600 units where 70,100
     /// were left (tests/account_limits.rs).
-    pub fn note_kept(&mut self, now: Duration) {
-        if !self.is_kept(now) && self.is_settled(now) {
+    pub fn mark_in_use(&mut self, now: Duration) {
+        if !self.is_in_use(now) && self.is_warmed_up(now) {
             self.reset(now);
         }
         self.last_answered = Some(now);
@@ -178,7 +178,7 @@
     }
 
     /// Whether hosts currently use this ledger.
-    pub fn is_kept(&self, now: Duration) -> bool {
+    pub fn is_in_use(&self, now: Duration) -> bool {
         self.last_answered
             .is_some_and(|at| now.saturating_sub(at) < IN_USE_TIME)
     }
@@ -186,13 +186,13 @@
     /// Whether the ledger has enough data to tell which accounts are far below their limits. Until then hosts
     /// ask for every request: with a demand of 1.4 million units a second after all hosts were killed, 0.3 s
     /// without asking exceeded the tolerance by 0.11 (tests/account_limits.rs).
-    pub fn is_settled(&self, now: Duration) -> bool {
+    pub fn is_warmed_up(&self, now: Duration) -> bool {
         now.saturating_sub(self.started) >= WARM_UP_TIME
     }
 
     /// Accounts for which hosts must ask before they admit a request. The list is recomputed at most every
     /// 0.1 s, since all hosts of the zone request it several times a second.
-    pub fn near(&mut self, accounts: &AccountDirectory, now: Duration) -> &[NearAccount] {
+    pub fn near_limit(&mut self, accounts: &AccountDirectory, now: Duration) -> &[NearAccount] {
         let is_due = self
             .near_computed
             .is_none_or(|at| now.saturating_sub(at) >= NEAR_INTERVAL);
@@ -228,7 +228,7 @@
     // from each other admitted 190,800 units of one account in 0.6 s, where its limit left 97,810
     // (tests/account_limits.rs).
     fn warm_up_share(&self, now: Duration) -> f64 {
-        if self.is_settled(now) {
+        if self.is_warmed_up(now) {
             return 1.0;
         }
         let silent = self
@@ -343,7 +343,7 @@
     }
 
     /// Drops ledgers that have been silent for too long and accounts that are no longer configured.
-    pub fn forget_old(&mut self, accounts: &AccountDirectory, now: Duration) {
+    pub fn evict_expired(&mut self, accounts: &AccountDirectory, now: Duration) {
         self.peers
             .retain(|_, ledger| now.saturating_sub(ledger.updated) < IDLE_TIMEOUT);
         self.usages
@@ -351,7 +351,7 @@
     }
 
     /// Units used and not yet drained, and demand in units per second, for metrics.
-    pub fn figures(&self, account: AccountKey, now: Duration) -> (f64, f64) {
+    pub fn level_and_demand(&self, account: AccountKey, now: Duration) -> (f64, f64) {
         let usage = self.usages.get(&account);
         usage.map_or((0.0, 0.0), |usage| {
             (usage.bucket.level(), usage.total_demand(now))
--- a/src/account/ledger_sums.rs
+++ b/src/account/ledger_sums.rs
@@ -24,7 +24,7 @@
 impl ZoneLedger {
     /// Totals to broadcast now: those of all active accounts if `is_whole`, else those of accounts near their
     /// limits or with much usage since the last broadcast.
-    pub fn tell_sums(
+    pub fn sums_to_broadcast(
         &mut self,
         is_whole: bool,
         near: &BTreeSet<AccountKey>,
@@ -44,8 +44,8 @@
 
     /// Totals for another ledger that asks: those of `some` accounts and of accounts with much usage. None if
     /// no host uses this ledger, as it then knows the usage of its zone only from others.
-    pub fn answer_sums(&self, some: &BTreeSet<AccountKey>, now: Duration) -> Option<LedgerSums> {
-        self.is_kept(now).then(|| {
+    pub fn sums_for_peer(&self, some: &BTreeSet<AccountKey>, now: Duration) -> Option<LedgerSums> {
+        self.is_in_use(now).then(|| {
             self.sums_of(now, |account, usage| {
                 some.contains(account) || usage.is_broadcast_due()
             })
@@ -76,7 +76,7 @@
 
     /// Recent totals of other ledgers for `some` accounts, relayed since ledger hosts may not all reach each
     /// other.
-    pub fn heard_sums(&self, some: &BTreeSet<AccountKey>, now: Duration) -> Vec<LedgerSums> {
+    pub fn recent_peer_sums(&self, some: &BTreeSet<AccountKey>, now: Duration) -> Vec<LedgerSums> {
         let peers = self.peers.iter();
         let recent =
             peers.filter(|(_, ledger)| now.saturating_sub(ledger.updated) < UNREACHABLE_AFTER);
@@ -96,7 +96,7 @@
     }
 
     /// Merges the totals of another ledger, received directly or relayed by a third one.
-    pub fn take_sums(&mut self, sums: &LedgerSums, accounts: &AccountDirectory, now: Duration) {
+    pub fn merge_sums(&mut self, sums: &LedgerSums, accounts: &AccountDirectory, now: Duration) {
         if sums.id == self.id {
             return;
         }
--- a/src/relay/parts/accounts.rs
+++ b/src/relay/parts/accounts.rs
@@ -209,7 +209,7 @@
             }
             let now = self.now();
             let mut ledger = self.accounts.ledger.borrow_mut();
-            ledger.note_kept(now);
+            ledger.mark_in_use(now);
             return Ok(Some(ledger.charge(
                 charge.account,
                 limit,
@@ -268,15 +268,15 @@
         let now = self.now();
         let near = with_accounts(self, |accounts| {
             let mut ledger = self.accounts.ledger.borrow_mut();
-            ledger.note_kept(now);
+            ledger.mark_in_use(now);
             for used in uses {
                 let account = accounts.account(used.account);
                 if let Some(limit) = account.and_then(|account| account.limit) {
-                    ledger.note(*used, limit, now);
+                    ledger.record_use(*used, limit, now);
                 }
             }
-            let is_settled = ledger.is_settled(now);
-            is_settled.then(|| ledger.near(accounts, now).to_vec())
+            let is_warmed_up = ledger.is_warmed_up(now);
+            is_warmed_up.then(|| ledger.near_limit(accounts, now).to_vec())
         });
         UseReport {
             near: near.flatten(),
@@ -293,7 +293,7 @@
         let answer = with_accounts(self, |accounts| {
             let limit = accounts.account(account)?.limit?;
             let mut ledger = self.accounts.ledger.borrow_mut();
-            ledger.note_kept(now);
+            ledger.mark_in_use(now);
             Some(ledger.charge(account, limit, f64::from(units), now))
         });
         answer.flatten()
@@ -305,10 +305,10 @@
         let near = self.near_accounts();
         let answer = with_accounts(self, |accounts| {
             let mut ledger = self.accounts.ledger.borrow_mut();
-            ledger.take_sums(theirs, accounts, now);
-            let mut all = ledger.heard_sums(&near, now);
+            ledger.merge_sums(theirs, accounts, now);
+            let mut all = ledger.recent_peer_sums(&near, now);
             all.retain(|sums| sums.id != theirs.id);
-            all.extend(ledger.answer_sums(&near, now));
+            all.extend(ledger.sums_for_peer(&near, now));
             all
         });
         answer.unwrap_or_default()
@@ -320,7 +320,7 @@
         with_accounts(self, |accounts| {
             let mut ledger = self.accounts.ledger.borrow_mut();
             for sums in all {
-                ledger.take_sums(sums, accounts, now);
+                ledger.merge_sums(sums, accounts, now);
             }
         });
     }
@@ -330,7 +330,7 @@
         let now = self.now();
         let near = with_accounts(self, |accounts| {
             let mut ledger = self.accounts.ledger.borrow_mut();
-            let near = ledger.near(accounts, now).iter();
+            let near = ledger.near_limit(accounts, now).iter();
             near.map(|near| near.account).collect()
         });
         near.unwrap_or_default()
@@ -342,10 +342,10 @@
         let now = self.now();
         let near = self.near_accounts();
         let mut ledger = self.accounts.ledger.borrow_mut();
-        if !ledger.is_kept(now) {
+        if !ledger.is_in_use(now) {
             return None;
         }
-        let sums = ledger.tell_sums(is_whole, &near, now);
+        let sums = ledger.sums_to_broadcast(is_whole, &near, now);
         (is_whole || !sums.uses.is_empty()).then_some(sums)
     }
 
@@ -359,6 +359,6 @@
         let now = self.now();
         let mut ledger = self.accounts.ledger.borrow_mut();
         ledger.set_zones(&zones);
-        with_accounts(self, |accounts| ledger.forget_old(accounts, now));
+        with_accounts(self, |accounts| ledger.evict_expired(accounts, now));
     }
 }
--- a/tests/account_limits.rs
+++ b/tests/account_limits.rs
@@ -214,18 +214,18 @@
         limit: Some(limit),
     }]);
     let ledger = |id| ZoneLedger::new(id, "z-a".into(), LimitTolerance::NONE, Duration::ZERO);
-    let (mut kept, mut idle) = (ledger(1), ledger(2));
+    let (mut used, mut idle) = (ledger(1), ledger(2));
     let near = BTreeSet::from([key]);
     // As on a host, the ledger counts as in use once a host asks it.
-    kept.note_kept(now);
-    while kept.charge(key, limit, 1.0, now).is_ok() {}
-    idle.take_sums(&kept.answer_sums(&near, now).unwrap(), &directory, now);
-    assert_eq!(idle.answer_sums(&near, now), None);
+    used.mark_in_use(now);
+    while used.charge(key, limit, 1.0, now).is_ok() {}
+    idle.merge_sums(&used.sums_for_peer(&near, now).unwrap(), &directory, now);
+    assert_eq!(idle.sums_for_peer(&near, now), None);
     // Totals received from another ledger are relayed, but without their outdated level.
-    let heard = idle.heard_sums(&near, now);
+    let heard = idle.recent_peer_sums(&near, now);
     assert_eq!((heard.len(), heard[0].uses[0].level), (1, 0));
-    let (level, _) = kept.figures(key, now);
-    kept.take_sums(
+    let (level, _) = used.level_and_demand(key, now);
+    used.merge_sums(
         &LedgerSums {
             id: 3,
             ..heard[0].clone()
@@ -233,7 +233,7 @@
         &directory,
         now,
     );
-    assert!(kept.figures(key, now).0 >= level);
+    assert!(used.level_and_demand(key, now).0 >= level);
 }
 
 // Guards against hosts that admit every request before they have received usage data. After all hosts were
@@ -342,7 +342,7 @@
         ledger.set_zones(&others.cloned().collect::<BTreeSet<_>>());
         for step in 0..20 {
             let now = Duration::from_secs(60) + Duration::from_millis(step * 10);
-            ledger.note_kept(now);
+            ledger.mark_in_use(now);
             while ledger.charge(account, limit, REQUEST_UNITS, now).is_ok() {
                 admitted += REQUEST_UNITS;
             }
--- a/tests/limit_sim/mod.rs
+++ b/tests/limit_sim/mod.rs
@@ -253,13 +253,13 @@
         let now = self.time();
         let is_whole = (self.now / EXCHANGE_INTERVAL).is_multiple_of(FULL_EXCHANGES);
         for from in 0..self.zones {
-            let near = self.ledgers[from].near(&self.directory, now);
+            let near = self.ledgers[from].near_limit(&self.directory, now);
             let near: BTreeSet<AccountKey> = near.iter().map(|near| near.account).collect();
-            let sums = self.ledgers[from].tell_sums(is_whole, &near, now);
+            let sums = self.ledgers[from].sums_to_broadcast(is_whole, &near, now);
             self.counts.sums_sent += sums.uses.len() as u64 * (self.zones as u64 - 1);
             for to in 0..self.zones {
                 if to != from && self.is_reachable(from, to) {
-                    self.ledgers[to].take_sums(&sums, &self.directory, now);
+                    self.ledgers[to].merge_sums(&sums, &self.directory, now);
                 }
             }
         }
@@ -282,11 +282,11 @@
             for used in host.admission.take_unreported() {
                 self.counts.reported += 1;
                 if let Some(limit) = self.directory.account(used.account).unwrap().limit {
-                    ledger.note(used, limit, now);
+                    ledger.record_use(used, limit, now);
                 }
             }
-            if ledger.is_settled(now) {
-                let near = ledger.near(&self.directory, now);
+            if ledger.is_warmed_up(now) {
+                let near = ledger.near_limit(&self.directory, now);
                 host.admission.set_near_limit(Some(near), now);
             }
         }
