--- a/src/account/bucket.rs
+++ b/src/account/bucket.rs
@@ -31,7 +31,7 @@
 
 impl RateBucket {
     /// Creates a bucket filled to `level`.
-    pub fn filled(level: f64, now: Duration) -> Self {
+    pub fn with_level(level: f64, now: Duration) -> Self {
         Self {
             level,
             reserved: level,
@@ -67,7 +67,7 @@
     /// Takes units if the bucket is not full, or returns how long to wait before a retry.
     pub fn take(&mut self, units: f64, bounds: BucketRate, now: Duration) -> Result<(), Duration> {
         if self.is_full(bounds, now) {
-            return Err(self.turn_away(units, bounds));
+            return Err(self.schedule_retry(units, bounds));
         }
         self.add(units);
         Ok(())
@@ -83,7 +83,7 @@
     ///
     /// Each refused caller gets a slot after the previous ones. With the same wait for all, they would retry
     /// at once and be refused again.
-    pub fn turn_away(&mut self, units: f64, bounds: BucketRate) -> Duration {
+    pub fn schedule_retry(&mut self, units: f64, bounds: BucketRate) -> Duration {
         if bounds.rate <= 0.0 {
             return MAX_WAIT;
         }
--- a/src/account/ledger.rs
+++ b/src/account/ledger.rs
@@ -330,7 +330,7 @@
         let started = self.started;
         let usage = self.usages.entry(account).or_insert_with(|| AccountUsage {
             // Usage from before the ledger started has drained since.
-            bucket: RateBucket::filled(limit.burst * INITIAL_FILL, started),
+            bucket: RateBucket::with_level(limit.burst * INITIAL_FILL, started),
             charged_until: now,
             ..AccountUsage::default()
         });
--- a/src/filter/limit.rs
+++ b/src/filter/limit.rs
@@ -117,7 +117,7 @@
         {
             return Err(OverLimit {
                 what: "requests a second",
-                wait: used.requests.turn_away(1.0, bounds_of(rate)),
+                wait: used.requests.schedule_retry(1.0, bounds_of(rate)),
             });
         }
         if let Some(rate) = token_rate
@@ -125,7 +125,7 @@
         {
             return Err(OverLimit {
                 what: "prompt tokens a second",
-                wait: used.tokens.turn_away(tokens as f64, bounds_of(rate)),
+                wait: used.tokens.schedule_retry(tokens as f64, bounds_of(rate)),
             });
         }
         if request_rate.is_some() {
--- a/src/relay/policy/permit_allocator.rs
+++ b/src/relay/policy/permit_allocator.rs
@@ -160,7 +160,7 @@
 // What was allocated before by another host is not known: as much as may be at once.
 fn begun_bucket(limit: Option<ServerLimit>, part: f64, level: f64, now: Duration) -> RateBucket {
     let burst = limit.map_or(0.0, |limit| bounds(limit, part).burst);
-    RateBucket::filled(burst + level, now)
+    RateBucket::with_level(burst + level, now)
 }
 
 /// Permits a second at a server that names a limit, and how many at once.
