--- a/src/filter/plain.rs
+++ b/src/filter/plain.rs
@@ -7,7 +7,7 @@
         object::{ServiceSpec, Typed},
         operation::{PlainOutcome, PlainReply, Refusal, RefusalCode, RunVerdict},
         relay::{RequestDigest, ServerAvailability},
-        route::{ServerChoice, ServerInfo},
+        route::{SelectedServer, ServerInfo},
         web::{self, WebFailure},
     },
     bytes::Bytes,
@@ -75,7 +75,7 @@
         let zone = &traffic.settings.zone;
         let chosen = traffic
             .servers
-            .choose(&route.servers, zone, &tried, in_rotation);
+            .select(&route.servers, zone, &tried, in_rotation);
         let Some(choice) = chosen else {
             let wait = permit_wait.or_else(|| backoff_wait(traffic, route));
             return Err(with_wait(last, wait));
@@ -147,7 +147,7 @@
     let servers = traffic.servers.servers();
     let picked = servers
         .iter()
-        .filter(|server| server.is_picked_by(&route.servers));
+        .filter(|server| server.matches_any(&route.servers));
     let waits = picked.filter_map(|server| match traffic.server_states.availability(server) {
         ServerAvailability::BackingOff(left) => Some(left),
         ServerAvailability::Available | ServerAvailability::Leaving => None,
@@ -180,7 +180,7 @@
 }
 
 // A try that may have run stays so, whatever a later try says.
-fn refusal_of(choice: &ServerChoice, failure: &WebFailure, before: RunVerdict) -> Refusal {
+fn refusal_of(choice: &SelectedServer, failure: &WebFailure, before: RunVerdict) -> Refusal {
     let verdict = match failure {
         WebFailure::Unreachable(_) => RunVerdict::NotRun,
         _ => RunVerdict::MayHaveRun,
@@ -191,7 +191,7 @@
 
 async fn send(
     traffic: &Traffic,
-    choice: &ServerChoice,
+    choice: &SelectedServer,
     call: &PlainCall,
 ) -> Result<PlainReply, WebFailure> {
     let sent = traffic.server_states.now();
--- a/src/host/traffic.rs
+++ b/src/host/traffic.rs
@@ -13,7 +13,7 @@
             LifeLimits, OperationTable, RetryBudget, RunnerParts, SharedCrashes, TicketBook,
         },
         peer,
-        route::{ServerBook, ServerStates, SharedDesk},
+        route::{ServerRegistry, ServerStates, SharedDesk},
         web::WebClient,
     },
     arc_swap::ArcSwap,
@@ -50,7 +50,7 @@
     /// Where engines are chosen.
     pub desk: Arc<SharedDesk>,
     /// Servers of plain services.
-    pub servers: Arc<ServerBook>,
+    pub servers: Arc<ServerRegistry>,
     /// Which of them name how much they take.
     pub server_states: ServerStates,
     /// Operations by key.
--- a/src/route/servers.rs
+++ b/src/route/servers.rs
@@ -33,7 +33,7 @@
 
 impl ServerInfo {
     /// Whether one of the selectors matches the server.
-    pub fn is_picked_by(&self, selectors: &[object::LabelSelector]) -> bool {
+    pub fn matches_any(&self, selectors: &[object::LabelSelector]) -> bool {
         let mut selectors = selectors.iter();
         selectors.any(|selector| selector.matches(&self.labels))
     }
@@ -57,11 +57,11 @@
 
 /// Known servers of plain services.
 #[derive(Debug, Default)]
-pub struct ServerBook {
+pub struct ServerRegistry {
     views: Mutex<BTreeMap<FastStr, ServerView>>,
 }
 
-impl ServerBook {
+impl ServerRegistry {
     /// Replaces the list of servers and keeps the state of those that remain.
     pub fn set_servers(&self, servers: Vec<ServerInfo>) {
         let mut views = self.views.lock().expect("server registry lock");
@@ -84,28 +84,28 @@
     /// Selects a server that matches one of the selectors, is in rotation and has not been tried yet. Prefers
     /// reachable servers, then those in this zone, then those with the fewest calls; ties are broken at
     /// random.
-    pub fn choose(
+    pub fn select(
         self: &Arc<Self>,
         selectors: &[object::LabelSelector],
         zone: &FastStr,
         tried: &[FastStr],
         in_rotation: impl Fn(&ServerInfo) -> bool,
-    ) -> Option<ServerChoice> {
+    ) -> Option<SelectedServer> {
         let now = Instant::now();
         let mut views = self.views.lock().expect("server registry lock");
         let mut random = rand::rng();
         let best = views
             .values_mut()
             .filter(|view| !view.info.leaving && !tried.contains(&view.info.name))
-            .filter(|view| view.info.is_picked_by(selectors) && in_rotation(&view.info))
+            .filter(|view| view.info.matches_any(selectors) && in_rotation(&view.info))
             .min_by_key(|view| {
                 let avoided = view.avoid_until.is_some_and(|until| now < until);
                 let away = view.info.zone != *zone;
                 (avoided, away, view.calls, random.random::<u32>())
             })?;
         best.calls += 1;
-        Some(ServerChoice {
-            book: self.clone(),
+        Some(SelectedServer {
+            registry: self.clone(),
             info: best.info.clone(),
         })
     }
@@ -133,13 +133,13 @@
 
 /// Selected server; its call counts as in progress until this is dropped.
 #[derive(Debug)]
-pub struct ServerChoice {
-    book: Arc<ServerBook>,
+pub struct SelectedServer {
+    registry: Arc<ServerRegistry>,
     /// The server.
     pub info: ServerInfo,
 }
 
-impl ServerChoice {
+impl SelectedServer {
     /// Returns the server's name.
     pub fn name(&self) -> FastStr {
         self.info.name.clone()
@@ -152,12 +152,12 @@
 
     /// Records that a call to the server failed.
     pub fn failed(&self) {
-        self.book.avoid(&self.info.name);
+        self.registry.avoid(&self.info.name);
     }
 }
 
-impl Drop for ServerChoice {
+impl Drop for SelectedServer {
     fn drop(&mut self) {
-        self.book.call_ended(&self.info.name);
+        self.registry.call_ended(&self.info.name);
     }
 }
