--- a/src/bench/fleet.rs
+++ b/src/bench/fleet.rs
@@ -13,7 +13,7 @@
         },
         object::LabelMap,
         operation::{LifeLimits, OnceSignal, RetryBudget, RunnerParts, SharedCrashes},
-        route::{EngineInfo, RoutePolicy, SharedDesk},
+        route::{EngineInfo, RoutePolicy, SharedScheduler},
         standin::engine::{EngineCore, EngineParams},
     },
     faststr::FastStr,
@@ -88,7 +88,8 @@
             let index = hosts.len() as u64;
             let zone = FastStr::from_static_str(zone);
             let seed = plan.seed ^ (index << 32);
-            let desk = SharedDesk::new(zone, plan.tuning.clone(), seed, HostClock::of_runtime());
+            let desk =
+                SharedScheduler::new(zone, plan.tuning.clone(), seed, HostClock::of_runtime());
             let infos = engines.iter().map(|engine| (info(engine), false)).collect();
             desk.change(|desk, _| desk.set_engines(infos));
             let links = desk.clone();
@@ -120,7 +121,7 @@
 }
 
 // Reads load by the daemon's rule: the oldest news first, a few reads a second.
-async fn observe(desk: Arc<SharedDesk>, engines: Arc<Vec<BenchEngine>>) {
+async fn observe(desk: Arc<SharedScheduler>, engines: Arc<Vec<BenchEngine>>) {
     let period = Duration::from_millis(250);
     loop {
         let now = desk.now();
--- a/src/host/traffic.rs
+++ b/src/host/traffic.rs
@@ -13,7 +13,7 @@
             LifeLimits, OperationTable, RetryBudget, RunnerParts, SharedCrashes, TicketBook,
         },
         peer,
-        route::{ServerRegistry, ServerStates, SharedDesk},
+        route::{ServerRegistry, ServerStates, SharedScheduler},
         web::WebClient,
     },
     arc_swap::ArcSwap,
@@ -48,7 +48,7 @@
     /// What requests share.
     pub parts: Arc<RunnerParts>,
     /// Where engines are chosen.
-    pub desk: Arc<SharedDesk>,
+    pub desk: Arc<SharedScheduler>,
     /// Servers of plain services.
     pub servers: Arc<ServerRegistry>,
     /// Which of them name how much they take.
@@ -85,7 +85,7 @@
         let number: u64 = rand::random();
         let clock = HostClock::system();
         let incarnation = peer::incarnation_name(number);
-        let desk = SharedDesk::new(
+        let desk = SharedScheduler::new(
             settings.zone.clone(),
             settings.tuning(),
             rand::random(),
--- a/src/operation/awaited.rs
+++ b/src/operation/awaited.rs
@@ -4,7 +4,7 @@
     super::step::LifeEvent,
     crate::{
         engine::{CallFailure, CallResult, ItemStream, PrefillReply},
-        route::{DeskAnswer, PlaceStage},
+        route::{PlacementAnswer, PlacementStage},
     },
     futures::{FutureExt, StreamExt, future::BoxFuture},
     std::time::Duration,
@@ -14,7 +14,7 @@
 /// What the life waits for.
 pub(super) enum Awaited {
     Nothing,
-    Desk(BoxFuture<'static, DeskAnswer>, PlaceStage),
+    Desk(BoxFuture<'static, PlacementAnswer>, PlacementStage),
     Prefill(BoxFuture<'static, CallResult<PrefillReply>>),
     Opening(BoxFuture<'static, CallResult<ItemStream>>),
     Items(ItemStream),
--- a/src/operation/runner.rs
+++ b/src/operation/runner.rs
@@ -14,7 +14,7 @@
     crate::{
         engine::{self, AttemptNamer, CallResult, EngineLink, ItemStream},
         relay::RequestDigest,
-        route::{DeskAnswer, PlaceRequest, PlaceStage, SharedDesk},
+        route::{PlacementAnswer, PlacementRequest, PlacementStage, SharedScheduler},
     },
     faststr::FastStr,
     futures::{FutureExt, future::BoxFuture},
@@ -33,7 +33,7 @@
 /// What all requests of a host share.
 pub struct RunnerParts {
     /// Where engines are chosen.
-    pub desk: Arc<SharedDesk>,
+    pub desk: Arc<SharedScheduler>,
     /// Names attempts.
     pub namer: AttemptNamer,
     /// Ends attempts.
@@ -163,7 +163,7 @@
                 LifeAction::Place { again } => self.place(again, actions),
                 LifeAction::PlaceDecode => {
                     self.release_decode();
-                    self.ask(PlaceStage::DecodeOnly(self.kv_until));
+                    self.ask(PlacementStage::DecodeOnly(self.kv_until));
                 }
                 LifeAction::Prefill(target) => self.send_prefill(target),
                 LifeAction::Decode {
@@ -192,12 +192,12 @@
             actions.extend(self.take(event));
             return;
         }
-        self.ask(PlaceStage::Whole);
+        self.ask(PlacementStage::PrefillAndDecode);
     }
 
-    fn ask(&mut self, stage: PlaceStage) {
+    fn ask(&mut self, stage: PlacementStage) {
         let delivered = self.life.delivered().len();
-        let question = PlaceRequest {
+        let question = PlacementRequest {
             ticket: 0,
             request: self.request.id.clone(),
             model: self.request.model.clone(),
@@ -218,7 +218,7 @@
             learn_ends(&parts, digest, broken).await;
             match parts.crashes.check(digest, verdict) {
                 Ok(()) => parts.desk.ask(question).await,
-                Err(refusal) => DeskAnswer::Refused(refusal),
+                Err(refusal) => PlacementAnswer::Refused(refusal),
             }
         };
         self.awaited = Awaited::Desk(asked.boxed(), stage);
@@ -337,14 +337,14 @@
         }
     }
 
-    fn placed(&mut self, answer: DeskAnswer, stage: PlaceStage) -> LifeEvent {
+    fn placed(&mut self, answer: PlacementAnswer, stage: PlacementStage) -> LifeEvent {
         match answer {
-            DeskAnswer::Refused(refusal) => LifeEvent::PlaceRefused(refusal),
-            DeskAnswer::Placed { prefill, decode } => {
+            PlacementAnswer::Refused(refusal) => LifeEvent::PlaceRefused(refusal),
+            PlacementAnswer::Placed { prefill, decode } => {
                 self.decode_held = Some(decode.clone());
                 let decode = self.name_attempt(decode);
                 match (prefill, stage) {
-                    (Some(prefill), PlaceStage::Whole) => {
+                    (Some(prefill), PlacementStage::PrefillAndDecode) => {
                         let tokens = self.prompt_tokens();
                         self.prefill_held = Some((prefill.clone(), tokens));
                         let prefill = self.name_attempt(prefill);
--- a/src/route/observe.rs
+++ b/src/route/observe.rs
@@ -1,7 +1,7 @@
 //! Updates of the scheduler's engine states from reports, results and failures.
 
 use {
-    super::scheduler::PlaceDesk,
+    super::scheduler::EngineScheduler,
     crate::engine::{LoadReport, PrefillReply},
     std::time::Duration,
 };
@@ -12,7 +12,7 @@
 /// Consecutive failures after which an engine is ejected.
 const FAILURES_TO_EJECT: u32 = 2;
 
-impl PlaceDesk {
+impl EngineScheduler {
     /// Stores a load report of an engine.
     pub fn reported(&mut self, engine: &str, report: LoadReport, now: Duration) {
         if let Some(view) = self.views.get_mut(engine) {
--- a/src/route/placement.rs
+++ b/src/route/placement.rs
@@ -8,7 +8,7 @@
 
 /// Request for engines.
 #[derive(Debug, Clone)]
-pub struct PlaceRequest {
+pub struct PlacementRequest {
     /// Number of this request, unique within the scheduler.
     pub ticket: u64,
     /// Id of the client request, for explanations.
@@ -32,21 +32,21 @@
     /// Engines on which this request has failed.
     pub excluded: Vec<FastStr>,
     /// Engines that are needed.
-    pub stage: PlaceStage,
+    pub stage: PlacementStage,
 }
 
 /// Engines that a request needs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PlaceStage {
+pub enum PlacementStage {
     /// A prefill and a decode engine.
-    Whole,
+    PrefillAndDecode,
     /// A decode engine, by the given time at which the KV cache expires.
     DecodeOnly(Duration),
 }
 
-/// Answer to a [`PlaceRequest`].
+/// Answer to a [`PlacementRequest`].
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum DeskAnswer {
+pub enum PlacementAnswer {
     /// The chosen engines, which count the request's load from now on.
     Placed {
         /// Prefill engine, if one was needed.
@@ -60,7 +60,7 @@
 
 /// Result of one placement attempt.
 pub(super) enum PlacementAttempt {
-    Placed(DeskAnswer),
+    Placed(PlacementAnswer),
     // No engine has capacity now.
     Blocked,
     // The best engine would deliver the first token this much too late.
--- a/src/route/rank.rs
+++ b/src/route/rank.rs
@@ -4,9 +4,9 @@
 use {
     super::{
         choose::{self, ScoredEngine},
-        placement::{PlaceRequest, PlaceStage},
+        placement::{PlacementRequest, PlacementStage},
         policy::RoutePolicy,
-        scheduler::PlaceDesk,
+        scheduler::EngineScheduler,
         view::EngineView,
     },
     crate::engine::EngineRole,
@@ -18,7 +18,7 @@
 /// Upper bound of predicted times, in seconds.
 const MAX_PREDICTION: f64 = 3_600.0;
 
-impl PlaceDesk {
+impl EngineScheduler {
     // Whether any prefill and any decode engine have capacity, regardless of pools. A cheap check before a
     // full search.
     pub(super) fn has_any_capacity(&self, now: Duration) -> bool {
@@ -41,11 +41,11 @@
     }
 
     // Sort key of waiting requests: those with computed work first, then by priority, then by least slack.
-    pub(super) fn urgency(&self, request: &PlaceRequest) -> (u8, u8, Duration) {
+    pub(super) fn urgency(&self, request: &PlacementRequest) -> (u8, u8, Duration) {
         let stage = match request.stage {
-            PlaceStage::DecodeOnly(_) => 0,
-            PlaceStage::Whole if request.resumed => 1,
-            PlaceStage::Whole => 2,
+            PlacementStage::DecodeOnly(_) => 0,
+            PlacementStage::PrefillAndDecode if request.resumed => 1,
+            PlacementStage::PrefillAndDecode => 2,
         };
         let service = self.service_time(request);
         let slack = self.first_token_by(request).saturating_sub(service);
@@ -53,13 +53,13 @@
     }
 
     // Time that the request takes without queueing.
-    pub(super) fn service_time(&self, request: &PlaceRequest) -> Duration {
+    pub(super) fn service_time(&self, request: &PlacementRequest) -> Duration {
         let compute = request.tokens as f64 / self.tuning.prefill_rate;
         Duration::from_secs_f64(compute) + self.after_prefill(request)
     }
 
     // Time from the end of the prefill to the first token: the transfer and one decode step.
-    pub(super) fn after_prefill(&self, request: &PlaceRequest) -> Duration {
+    pub(super) fn after_prefill(&self, request: &PlacementRequest) -> Duration {
         let bytes = request.tokens as f64 * self.tuning.kv_bytes_per_token;
         let transfer = Duration::from_secs_f64(bytes / self.tuning.link_rate);
         transfer + self.tuning.between_tokens
@@ -67,7 +67,7 @@
 
     // Time by which the first token is due. A prompt too long for the target is still served: it gets 1.5
     // times its own service time.
-    pub(super) fn first_token_by(&self, request: &PlaceRequest) -> Duration {
+    pub(super) fn first_token_by(&self, request: &PlacementRequest) -> Duration {
         let target = self.tuning.first_token - self.tuning.margin;
         let own = self.service_time(request).mul_f64(1.5);
         request.arrived + target.max(own)
@@ -76,7 +76,7 @@
     // How much too late the first token would come, or none if it would be in time.
     pub(super) fn lateness(
         &self,
-        request: &PlaceRequest,
+        request: &PlacementRequest,
         prefill: &ScoredEngine<'_>,
         now: Duration,
     ) -> Option<Duration> {
@@ -106,7 +106,7 @@
 
     pub(super) fn candidates<'a>(
         &'a self,
-        request: &'a PlaceRequest,
+        request: &'a PlacementRequest,
         role: EngineRole,
         zone: Option<&'a FastStr>,
         now: Duration,
@@ -124,7 +124,7 @@
             .collect()
     }
 
-    pub(super) fn has_candidates(&self, request: &PlaceRequest, now: Duration) -> bool {
+    pub(super) fn has_candidates(&self, request: &PlacementRequest, now: Duration) -> bool {
         [EngineRole::Prefill, EngineRole::Decode]
             .into_iter()
             .all(|role| !self.candidates(request, role, None, now).is_empty())
@@ -133,7 +133,7 @@
     /// Engines of a role that could serve a request, best first by the policy.
     pub(super) fn rank_engines<'a>(
         &'a self,
-        request: &'a PlaceRequest,
+        request: &'a PlacementRequest,
         role: EngineRole,
         zone: Option<&'a FastStr>,
         now: Duration,
@@ -151,7 +151,7 @@
 
     // Score of a prefill engine for `joint`: the predicted time until the prompt is computed. An engine that
     // refused as full gets a penalty of 1 s.
-    fn prefill_score(&self, request: &PlaceRequest, view: &EngineView, now: Duration) -> f64 {
+    fn prefill_score(&self, request: &PlacementRequest, view: &EngineView, now: Duration) -> f64 {
         let policy = self.tuning.policy;
         if policy != RoutePolicy::Joint {
             return choose::prefill_load(policy, view, &self.tuning, now);
--- a/src/route/scheduler.rs
+++ b/src/route/scheduler.rs
@@ -6,7 +6,7 @@
     super::{
         choose::{self, ScoredEngine},
         explain::{DecisionLog, DecisionRecord, WeighedEngine},
-        placement::{DeskAnswer, PlaceRequest, PlaceStage, PlacementAttempt},
+        placement::{PlacementAnswer, PlacementAttempt, PlacementRequest, PlacementStage},
         policy::RouteTuning,
         view::{EngineInfo, EngineView},
     },
@@ -28,13 +28,13 @@
 
 /// Assigns engines to waiting requests.
 #[derive(Debug)]
-pub struct PlaceDesk {
+pub struct EngineScheduler {
     pub(super) tuning: RouteTuning,
     pub(super) zone: FastStr,
     pub(super) views: BTreeMap<FastStr, EngineView>,
     // Links to engines that this host does not schedule but may still have to contact.
     pub(super) unscheduled: BTreeMap<FastStr, Arc<EngineLink>>,
-    pub(super) waiting: Vec<PlaceRequest>,
+    pub(super) waiting: Vec<PlacementRequest>,
     pub(super) log: DecisionLog,
     pub(super) random: StdRng,
     pub(super) turn: usize,
@@ -43,7 +43,7 @@
     pub(super) last_placed: Option<Duration>,
 }
 
-impl PlaceDesk {
+impl EngineScheduler {
     /// Creates the scheduler of a host in `zone`. The seed makes its random choices reproducible.
     pub fn new(zone: FastStr, tuning: RouteTuning, seed: u64) -> Self {
         Self {
@@ -150,7 +150,7 @@
     }
 
     /// Adds a request; [`Self::pump`] returns its answer.
-    pub fn ask(&mut self, request: PlaceRequest) {
+    pub fn ask(&mut self, request: PlacementRequest) {
         self.waiting.push(request);
     }
 
@@ -160,13 +160,13 @@
     }
 
     /// Answers every waiting request that can be answered now, in the order of urgency.
-    pub fn pump(&mut self, now: Duration) -> Vec<(u64, DeskAnswer)> {
+    pub fn pump(&mut self, now: Duration) -> Vec<(u64, PlacementAnswer)> {
         let mut waiting = std::mem::take(&mut self.waiting);
         waiting.sort_by_key(|request| (self.urgency(request), request.ticket));
         let mut answers = Vec::new();
         let mut ahead = 0;
         for request in waiting {
-            let needs_both = request.stage == PlaceStage::Whole && !request.resumed;
+            let needs_both = request.stage == PlacementStage::PrefillAndDecode && !request.resumed;
             let skips_search = ahead >= MAX_BLOCKED || !self.has_any_capacity(now);
             let answer = match needs_both && self.tuning.policy.queues_here() && skips_search {
                 true => self.refuse_overdue(&request, ahead, now),
@@ -191,22 +191,22 @@
 
     fn answer(
         &mut self,
-        request: &PlaceRequest,
+        request: &PlacementRequest,
         ahead: usize,
         now: Duration,
-    ) -> Option<DeskAnswer> {
+    ) -> Option<PlacementAnswer> {
         match request.stage {
-            PlaceStage::Whole => self.answer_whole(request, ahead, now),
-            PlaceStage::DecodeOnly(until) => self.answer_decode(request, until, now),
+            PlacementStage::PrefillAndDecode => self.answer_both(request, ahead, now),
+            PlacementStage::DecodeOnly(until) => self.answer_decode(request, until, now),
         }
     }
 
-    fn answer_whole(
+    fn answer_both(
         &mut self,
-        request: &PlaceRequest,
+        request: &PlacementRequest,
         ahead: usize,
         now: Duration,
-    ) -> Option<DeskAnswer> {
+    ) -> Option<PlacementAnswer> {
         // A request that would be late in one zone may be placed in another at once, but does not wait for
         // capacity there, since the state of engines in other zones is known less accurately
         // (docs/performance.md).
@@ -231,10 +231,10 @@
     // Refuses a request behind `ahead` others if it has waited, or is expected to wait, too long.
     fn refuse_overdue(
         &mut self,
-        request: &PlaceRequest,
+        request: &PlacementRequest,
         ahead: usize,
         now: Duration,
-    ) -> Option<DeskAnswer> {
+    ) -> Option<PlacementAnswer> {
         if !self.tuning.policy.queues_here() || request.resumed {
             return None;
         }
@@ -245,7 +245,12 @@
         (predicted > by).then(|| self.refuse_late(request, predicted - by, now))
     }
 
-    fn refuse_late(&mut self, request: &PlaceRequest, by: Duration, now: Duration) -> DeskAnswer {
+    fn refuse_late(
+        &mut self,
+        request: &PlacementRequest,
+        by: Duration,
+        now: Duration,
+    ) -> PlacementAnswer {
         let late = by.as_millis();
         let text = format!("the first token would come {late} ms too late");
         self.refuse(request, RefusalCode::Overloaded, text, now)
@@ -258,7 +263,7 @@
 
     fn place(
         &mut self,
-        request: &PlaceRequest,
+        request: &PlacementRequest,
         zone: Option<FastStr>,
         now: Duration,
     ) -> PlacementAttempt {
@@ -289,7 +294,7 @@
         self.turn += 1;
         self.log.add(record);
         self.begin(request, Some(&prefill), &decode);
-        PlacementAttempt::Placed(DeskAnswer::Placed {
+        PlacementAttempt::Placed(PlacementAnswer::Placed {
             prefill: Some(prefill),
             decode,
         })
@@ -297,10 +302,10 @@
 
     fn answer_decode(
         &mut self,
-        request: &PlaceRequest,
+        request: &PlacementRequest,
         until: Duration,
         now: Duration,
-    ) -> Option<DeskAnswer> {
+    ) -> Option<PlacementAnswer> {
         if now >= until {
             let text = "no decode engine was free while the KV cache lived";
             return Some(self.refuse(request, RefusalCode::Overloaded, text.into(), now));
@@ -316,13 +321,13 @@
         self.turn += 1;
         self.log.add(record);
         self.begin(request, None, &name);
-        Some(DeskAnswer::Placed {
+        Some(PlacementAnswer::Placed {
             prefill: None,
             decode: name,
         })
     }
 
-    fn begin(&mut self, request: &PlaceRequest, prefill: Option<&FastStr>, decode: &FastStr) {
+    fn begin(&mut self, request: &PlacementRequest, prefill: Option<&FastStr>, decode: &FastStr) {
         if let Some(view) = prefill.and_then(|name| self.views.get_mut(name)) {
             view.prefill_began(request.tokens, &request.blocks);
         }
@@ -331,8 +336,8 @@
         }
     }
 
-    fn record_placement(&mut self, answer: &DeskAnswer, ahead: usize, now: Duration) {
-        if !matches!(answer, DeskAnswer::Placed { .. }) {
+    fn record_placement(&mut self, answer: &PlacementAnswer, ahead: usize, now: Duration) {
+        if !matches!(answer, PlacementAnswer::Placed { .. }) {
             return;
         }
         if let (Some(last), true) = (self.last_placed, ahead + self.waiting.len() > 0) {
@@ -347,11 +352,11 @@
 
     fn refuse(
         &mut self,
-        request: &PlaceRequest,
+        request: &PlacementRequest,
         code: RefusalCode,
         text: String,
         now: Duration,
-    ) -> DeskAnswer {
+    ) -> PlacementAnswer {
         let prefills = Vec::new();
         let record = DecisionRecord {
             request: request.request.clone(),
@@ -363,12 +368,12 @@
         self.log.add(record);
         let drain = self.placement_interval.unwrap_or(0.0) * self.waiting.len() as f64;
         let wait = Duration::from_secs_f64(drain).clamp(Duration::from_secs(1), MAX_RETRY_AFTER);
-        DeskAnswer::Refused(Refusal::not_run(code, text).after(wait))
+        PlacementAnswer::Refused(Refusal::not_run(code, text).after(wait))
     }
 
     fn record(
         &self,
-        request: &PlaceRequest,
+        request: &PlacementRequest,
         decision: &str,
         now: Duration,
         prefills: &[ScoredEngine<'_>],
--- a/src/route/shared.rs
+++ b/src/route/shared.rs
@@ -2,9 +2,9 @@
 
 use {
     super::{
-        placement::{DeskAnswer, PlaceRequest},
+        placement::{PlacementAnswer, PlacementRequest},
         policy::RouteTuning,
-        scheduler::PlaceDesk,
+        scheduler::EngineScheduler,
     },
     crate::{
         clock::HostClock,
@@ -25,9 +25,9 @@
 /// Interval at which waiting requests are retried without any other event.
 const PUMP_PERIOD: Duration = Duration::from_millis(10);
 
-/// A [`PlaceDesk`] shared by tasks.
+/// An [`EngineScheduler`] shared by tasks.
 #[derive(Debug)]
-pub struct SharedDesk {
+pub struct SharedScheduler {
     inner: Mutex<SchedulerState>,
     clock: HostClock,
     asked: Notify,
@@ -36,16 +36,16 @@
 
 #[derive(Debug)]
 struct SchedulerState {
-    desk: PlaceDesk,
-    answers: HashMap<u64, oneshot::Sender<DeskAnswer>>,
+    scheduler: EngineScheduler,
+    answers: HashMap<u64, oneshot::Sender<PlacementAnswer>>,
 }
 
-impl SharedDesk {
+impl SharedScheduler {
     /// Creates the scheduler of a host in `zone`.
     pub fn new(zone: FastStr, tuning: RouteTuning, seed: u64, clock: HostClock) -> Arc<Self> {
         Arc::new(Self {
             inner: Mutex::new(SchedulerState {
-                desk: PlaceDesk::new(zone, tuning, seed),
+                scheduler: EngineScheduler::new(zone, tuning, seed),
                 answers: HashMap::new(),
             }),
             clock,
@@ -60,19 +60,19 @@
     }
 
     /// Reads the scheduler's state.
-    pub fn read<R>(&self, read: impl FnOnce(&PlaceDesk) -> R) -> R {
-        read(&self.inner.lock().expect("scheduler lock").desk)
+    pub fn read<R>(&self, read: impl FnOnce(&EngineScheduler) -> R) -> R {
+        read(&self.inner.lock().expect("scheduler lock").scheduler)
     }
 
     /// Changes the scheduler's state, then answers the waiting requests that it can.
-    pub fn change<R>(&self, change: impl FnOnce(&mut PlaceDesk, Duration) -> R) -> R {
+    pub fn change<R>(&self, change: impl FnOnce(&mut EngineScheduler, Duration) -> R) -> R {
         let mut inner = self.inner.lock().expect("scheduler lock");
         // Read under the lock, so that the scheduler's time never goes backwards.
         let now = self.now();
-        let result = change(&mut inner.desk, now);
-        let answers = match inner.desk.waiting() {
+        let result = change(&mut inner.scheduler, now);
+        let answers = match inner.scheduler.waiting() {
             0 => Vec::new(),
-            _ => inner.desk.pump(now),
+            _ => inner.scheduler.pump(now),
         };
         for (ticket, answer) in answers {
             inner.deliver(ticket, answer);
@@ -81,15 +81,15 @@
     }
 
     /// Records an observation that frees no capacity, so that no waiting request has to be retried.
-    pub fn note(&self, note: impl FnOnce(&mut PlaceDesk, Duration)) {
+    pub fn note(&self, note: impl FnOnce(&mut EngineScheduler, Duration)) {
         let mut inner = self.inner.lock().expect("scheduler lock");
         let now = self.now();
-        note(&mut inner.desk, now);
+        note(&mut inner.scheduler, now);
     }
 
     /// Waits for the answer to a request. If the caller stops waiting, the request is removed and its engines
     /// are released.
-    pub async fn ask(&self, mut request: PlaceRequest) -> DeskAnswer {
+    pub async fn ask(&self, mut request: PlacementRequest) -> PlacementAnswer {
         let ticket = self.next_ticket.fetch_add(1, Ordering::Relaxed);
         request.ticket = ticket;
         let tokens = request.tokens;
@@ -100,18 +100,18 @@
             .answers
             .insert(ticket, sender);
         let mut pending = PendingRequest {
-            desk: self,
+            scheduler: self,
             ticket,
             tokens,
             receiver,
         };
-        self.change(|desk, _| desk.ask(request));
+        self.change(|scheduler, _| scheduler.ask(request));
         self.asked.notify_one();
         match (&mut pending.receiver).await {
             Ok(answer) => answer,
             Err(_) => {
                 let text = "the host's desk is gone";
-                DeskAnswer::Refused(Refusal::not_run(RefusalCode::Stopping, text))
+                PlacementAnswer::Refused(Refusal::not_run(RefusalCode::Stopping, text))
             }
         }
     }
@@ -119,7 +119,7 @@
     /// Retries the waiting requests periodically, for as long as the host runs.
     pub async fn run_pump(self: Arc<Self>) {
         loop {
-            if self.read(PlaceDesk::waiting) == 0 {
+            if self.read(EngineScheduler::waiting) == 0 {
                 self.asked.notified().await;
             }
             tokio::time::sleep(PUMP_PERIOD).await;
@@ -127,23 +127,23 @@
         }
     }
 
-    fn undo(&self, answer: DeskAnswer, tokens: u64) {
-        self.change(|desk, now| undo(desk, answer, tokens, now));
+    fn undo(&self, answer: PlacementAnswer, tokens: u64) {
+        self.change(|scheduler, now| undo(scheduler, answer, tokens, now));
     }
 }
 
-fn undo(desk: &mut PlaceDesk, answer: DeskAnswer, tokens: u64, now: Duration) {
-    if let DeskAnswer::Placed { prefill, decode } = answer {
+fn undo(scheduler: &mut EngineScheduler, answer: PlacementAnswer, tokens: u64, now: Duration) {
+    if let PlacementAnswer::Placed { prefill, decode } = answer {
         if let Some(prefill) = prefill {
-            desk.prefill_ended(&prefill, tokens, None, now);
+            scheduler.prefill_ended(&prefill, tokens, None, now);
         }
-        desk.decode_ended(&decode);
+        scheduler.decode_ended(&decode);
     }
 }
 
 impl SchedulerState {
     // If the caller has stopped waiting, the drop of PendingRequest has removed the sender.
-    fn deliver(&mut self, ticket: u64, answer: DeskAnswer) {
+    fn deliver(&mut self, ticket: u64, answer: PlacementAnswer) {
         let sender = self.answers.remove(&ticket);
         debug_assert!(sender.is_some(), "a request is answered once");
         if let Some(sender) = sender {
@@ -154,22 +154,22 @@
 }
 
 struct PendingRequest<'a> {
-    desk: &'a SharedDesk,
+    scheduler: &'a SharedScheduler,
     ticket: u64,
     tokens: u64,
-    receiver: oneshot::Receiver<DeskAnswer>,
+    receiver: oneshot::Receiver<PlacementAnswer>,
 }
 
 impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
         {
-            let mut inner = self.desk.inner.lock().expect("scheduler lock");
+            let mut inner = self.scheduler.inner.lock().expect("scheduler lock");
             inner.answers.remove(&self.ticket);
-            inner.desk.withdraw(self.ticket);
+            inner.scheduler.withdraw(self.ticket);
         }
         // Release the engines of an answer that was never read.
         if let Ok(answer) = self.receiver.try_recv() {
-            self.desk.undo(answer, self.tokens);
+            self.scheduler.undo(answer, self.tokens);
         }
     }
 }
--- a/src/route/tests.rs
+++ b/src/route/tests.rs
@@ -2,10 +2,10 @@
 
 use {
     super::{
-        placement::{DeskAnswer, PlaceRequest, PlaceStage},
+        placement::{PlacementAnswer, PlacementRequest, PlacementStage},
         policy::RouteTuning,
-        scheduler::PlaceDesk,
-        shared::SharedDesk,
+        scheduler::EngineScheduler,
+        shared::SharedScheduler,
         view::EngineInfo,
     },
     crate::{
@@ -50,19 +50,19 @@
 }
 
 // One prefill engine and two decode engines, the second with a higher load.
-fn desk() -> PlaceDesk {
-    let mut desk = PlaceDesk::new(ZONE, RouteTuning::default(), 1);
+fn scheduler() -> EngineScheduler {
+    let mut scheduler = EngineScheduler::new(ZONE, RouteTuning::default(), 1);
     let engines = [("p", "prefill"), ("d1", "decode"), ("d2", "decode")];
     let infos = engines.map(|(name, role)| (info(name, role), false));
-    desk.set_engines(infos.into());
-    desk.reported("p", report(EngineRole::Prefill, 0, 0), Duration::ZERO);
-    desk.reported("d1", report(EngineRole::Decode, 2, 0), Duration::ZERO);
-    desk.reported("d2", report(EngineRole::Decode, 9, 0), Duration::ZERO);
-    desk
+    scheduler.set_engines(infos.into());
+    scheduler.reported("p", report(EngineRole::Prefill, 0, 0), Duration::ZERO);
+    scheduler.reported("d1", report(EngineRole::Decode, 2, 0), Duration::ZERO);
+    scheduler.reported("d2", report(EngineRole::Decode, 9, 0), Duration::ZERO);
+    scheduler
 }
 
-fn request(ticket: u64, tokens: u64, arrived: Duration) -> PlaceRequest {
-    PlaceRequest {
+fn request(ticket: u64, tokens: u64, arrived: Duration) -> PlacementRequest {
+    PlacementRequest {
         ticket,
         request: FastStr::from_string(format!("r{ticket}")),
         model: MODEL,
@@ -74,60 +74,60 @@
         arrived,
         resumed: false,
         excluded: Vec::new(),
-        stage: PlaceStage::Whole,
+        stage: PlacementStage::PrefillAndDecode,
     }
 }
 
-fn code(answer: &DeskAnswer) -> Option<RefusalCode> {
+fn code(answer: &PlacementAnswer) -> Option<RefusalCode> {
     match answer {
-        DeskAnswer::Refused(refusal) => Some(refusal.code),
-        DeskAnswer::Placed { .. } => None,
+        PlacementAnswer::Refused(refusal) => Some(refusal.code),
+        PlacementAnswer::Placed { .. } => None,
     }
 }
 
 #[test]
 fn least_used_decode_engine_is_chosen_and_counted_at_once() {
-    let mut desk = desk();
-    desk.ask(request(1, 100, Duration::ZERO));
-    let answers = desk.pump(Duration::ZERO);
-    let DeskAnswer::Placed { prefill, decode } = &answers[0].1 else {
+    let mut scheduler = scheduler();
+    scheduler.ask(request(1, 100, Duration::ZERO));
+    let answers = scheduler.pump(Duration::ZERO);
+    let PlacementAnswer::Placed { prefill, decode } = &answers[0].1 else {
         panic!("expected a placement");
     };
     assert_eq!((prefill.as_deref(), decode.as_str()), (Some("p"), "d1"));
-    assert_eq!(desk.view("d1").expect("known").slots_used(), 3);
+    assert_eq!(scheduler.view("d1").expect("known").slots_used(), 3);
 }
 
 #[test]
 fn late_request_is_refused_before_its_prefill() {
-    let mut desk = desk();
-    desk.reported("p", report(EngineRole::Prefill, 0, 60_000), Duration::ZERO);
-    desk.ask(request(1, 100, Duration::ZERO));
-    let answers = desk.pump(Duration::ZERO);
+    let mut scheduler = scheduler();
+    scheduler.reported("p", report(EngineRole::Prefill, 0, 60_000), Duration::ZERO);
+    scheduler.ask(request(1, 100, Duration::ZERO));
+    let answers = scheduler.pump(Duration::ZERO);
     assert_eq!(code(&answers[0].1), Some(RefusalCode::Overloaded));
-    assert_eq!(desk.view("p").expect("known").own_work(), (0, 0));
+    assert_eq!(scheduler.view("p").expect("known").own_work(), (0, 0));
 }
 
 #[test]
 fn request_waits_for_a_slot_and_takes_it_once_free() {
-    let mut desk = desk();
+    let mut scheduler = scheduler();
     for engine in ["d1", "d2"] {
-        desk.reported(engine, report(EngineRole::Decode, 20, 0), Duration::ZERO);
+        scheduler.reported(engine, report(EngineRole::Decode, 20, 0), Duration::ZERO);
     }
-    desk.ask(request(1, 100, Duration::ZERO));
-    assert!(desk.pump(Duration::ZERO).is_empty());
+    scheduler.ask(request(1, 100, Duration::ZERO));
+    assert!(scheduler.pump(Duration::ZERO).is_empty());
     let later = Duration::from_millis(100);
-    desk.reported("d2", report(EngineRole::Decode, 5, 0), later);
-    let answers = desk.pump(later);
+    scheduler.reported("d2", report(EngineRole::Decode, 5, 0), later);
+    let answers = scheduler.pump(later);
     assert_eq!(code(&answers[0].1), None);
 }
 
 #[test]
 fn leaving_engine_is_not_chosen() {
-    let mut desk = desk();
-    desk.set_leaving("d1", true);
-    desk.heard_leaving("d2", Duration::from_secs(5));
-    desk.ask(request(1, 100, Duration::ZERO));
-    let answers = desk.pump(Duration::ZERO);
+    let mut scheduler = scheduler();
+    scheduler.set_leaving("d1", true);
+    scheduler.heard_leaving("d2", Duration::from_secs(5));
+    scheduler.ask(request(1, 100, Duration::ZERO));
+    let answers = scheduler.pump(Duration::ZERO);
     assert_eq!(code(&answers[0].1), Some(RefusalCode::NoBackend));
 }
 
@@ -135,12 +135,12 @@
 // when the clock was read before the lock was taken.
 #[test]
 fn scheduling_with_an_earlier_time_is_harmless() {
-    let mut desk = desk();
+    let mut scheduler = scheduler();
     for (ticket, at) in [(1, 20), (2, 10), (3, 15)] {
         let now = Duration::from_millis(at);
-        desk.ask(request(ticket, 10, now));
-        desk.ask(request(ticket + 10, 10, now));
-        desk.pump(now);
+        scheduler.ask(request(ticket, 10, now));
+        scheduler.ask(request(ticket + 10, 10, now));
+        scheduler.pump(now);
     }
 }
 
@@ -152,21 +152,21 @@
         .build()
         .expect("a runtime");
     runtime.block_on(async {
-        let shared = SharedDesk::new(ZONE, RouteTuning::default(), 1, HostClock::of_runtime());
-        shared.change(|desk, now| {
-            desk.set_engines(vec![
+        let shared = SharedScheduler::new(ZONE, RouteTuning::default(), 1, HostClock::of_runtime());
+        shared.change(|scheduler, now| {
+            scheduler.set_engines(vec![
                 (info("p", "prefill"), false),
                 (info("d1", "decode"), false),
             ]);
-            desk.reported("p", report(EngineRole::Prefill, 0, 0), now);
-            desk.reported("d1", report(EngineRole::Decode, 20, 0), now);
+            scheduler.reported("p", report(EngineRole::Prefill, 0, 0), now);
+            scheduler.reported("d1", report(EngineRole::Decode, 20, 0), now);
         });
         let asked = shared.ask(request(0, 100, Duration::ZERO));
         let waited = tokio::time::timeout(Duration::from_millis(50), asked).await;
         assert!(waited.is_err(), "no decode slot is free");
-        shared.read(|desk| {
-            assert_eq!(desk.waiting(), 0);
-            assert_eq!(desk.view("p").expect("known").own_work(), (0, 0));
+        shared.read(|scheduler| {
+            assert_eq!(scheduler.waiting(), 0);
+            assert_eq!(scheduler.view("p").expect("known").own_work(), (0, 0));
         });
     });
 }
