--- a/src/bench/fleet.rs
+++ b/src/bench/fleet.rs
@@ -96,7 +96,7 @@
             let find = move |engine: &str| links.read(|desk| desk.link(engine));
             let canceller = Canceller::new(Box::new(find));
             tokio::spawn(canceller.clone().run());
-            tokio::spawn(desk.clone().run_pump());
+            tokio::spawn(desk.clone().run_periodically());
             tokio::spawn(observe(desk.clone(), engines.clone()));
             hosts.push(Arc::new(RunnerParts {
                 desk,
@@ -114,7 +114,7 @@
 // A policy without a queue at the host does not wait for room: it gives up after a few refusals.
 fn life_limits(policy: RoutePolicy) -> LifeLimits {
     let mut limits = LifeLimits::default();
-    if !policy.queues_here() {
+    if !policy.queues_requests() {
         limits.refusals = REFUSALS_WITHOUT_QUEUE;
     }
     limits
@@ -134,7 +134,7 @@
             let Some(engine) = engine else { continue };
             desk.change(|desk, now| match engine.dead.is_set() {
                 true => {
-                    desk.asked(&name, now);
+                    desk.report_missed(&name, now);
                     desk.failed(&name, now);
                 }
                 false => desk.reported(&name, engine.core.load(), now),
--- a/src/bench/plan.rs
+++ b/src/bench/plan.rs
@@ -111,7 +111,7 @@
 /// long one, which serves such policies better.
 pub fn engine_params(policy: RoutePolicy) -> EngineParams {
     let mut params = EngineParams::default();
-    if policy.queues_here() {
+    if policy.queues_requests() {
         params.prefill_queue = SHORT_QUEUE;
     }
     params
--- a/src/bench/report.rs
+++ b/src/bench/report.rs
@@ -169,7 +169,7 @@
         let waste = spread(group, |result| result.wasted_prefill).0 * 100.0;
         let name = format!("{} {}", plan.scenario.name, plan.tuning.policy);
         let end = 210 + (goodput * 480.0) as i32;
-        let color = match plan.tuning.policy.queues_here() {
+        let color = match plan.tuning.policy.queues_requests() {
             true => RGBColor(40, 110, 60),
             false => RGBColor(150, 150, 150),
         };
--- a/src/control/gossip.rs
+++ b/src/control/gossip.rs
@@ -169,7 +169,7 @@
         if !digest.leaving.is_empty() {
             self.traffic.desk.change(|desk, now| {
                 for engine in &digest.leaving {
-                    desk.heard_leaving(engine, now + HEARSAY_LIFE);
+                    desk.peer_reported_leaving(engine, now + HEARSAY_LIFE);
                 }
             });
         }
--- a/src/control/observe.rs
+++ b/src/control/observe.rs
@@ -58,7 +58,7 @@
                 .change(|desk, now| desk.reported(&name, report, now)),
             Err(failure) => {
                 let ejected = self.traffic.desk.change(|desk, now| {
-                    desk.asked(&name, now);
+                    desk.report_missed(&name, now);
                     desk.failed(&name, now)
                 });
                 if ejected {
--- a/src/control/publish.rs
+++ b/src/control/publish.rs
@@ -60,7 +60,7 @@
         let others = self.other_links(&state);
         self.traffic.desk.change(|desk, _| {
             desk.set_engines(engines);
-            desk.set_others(others);
+            desk.set_unscheduled(others);
         });
         self.traffic.servers.set_servers(plain);
         self.traffic.snapshot.store(Arc::new(snapshot));
--- a/src/host/entry.rs
+++ b/src/host/entry.rs
@@ -115,7 +115,7 @@
         let hold = stopped.clone();
         let hook: web::StopHook = Box::new(move || async move { hold.wait().await }.boxed());
         servers.spawn(web::serve(self.operators, handler, Some(hook)));
-        tokio::spawn(traffic.desk.clone().run_pump());
+        tokio::spawn(traffic.desk.clone().run_periodically());
         tokio::spawn(traffic.parts.canceller.clone().run());
         let control_stop = Arc::new(OnceSignal::default());
         let control = start_control(traffic.clone(), self.peers, control_stop.clone());
--- a/src/host/operators.rs
+++ b/src/host/operators.rs
@@ -64,7 +64,7 @@
                     "name": view.info.name,
                     "zone": view.info.zone,
                     "leaving": view.leaving,
-                    "out": view.is_out(now),
+                    "out": view.is_ejected(now),
                     "backlogTokens": view.backlog_tokens(desk.tuning(), now),
                     "slotsUsed": view.slots_used(),
                     "slotsTotal": view.slots_total(),
--- a/src/operation/runner.rs
+++ b/src/operation/runner.rs
@@ -198,7 +198,7 @@
     fn ask(&mut self, stage: PlacementStage) {
         let delivered = self.life.delivered().len();
         let question = PlacementRequest {
-            ticket: 0,
+            queue_id: 0,
             request: self.request.id.clone(),
             model: self.request.model.clone(),
             prefills: self.request.prefills.clone(),
@@ -217,7 +217,7 @@
         let asked = async move {
             learn_ends(&parts, digest, broken).await;
             match parts.crashes.check(digest, verdict) {
-                Ok(()) => parts.desk.ask(question).await,
+                Ok(()) => parts.desk.place(question).await,
                 Err(refusal) => PlacementAnswer::Refused(refusal),
             }
         };
@@ -301,7 +301,7 @@
                 let engine = self.origin.engine.clone();
                 self.parts
                     .desk
-                    .note(|desk, now| desk.gap_observed(&engine, gap.as_secs_f64(), now));
+                    .record(|desk, now| desk.token_gap_observed(&engine, gap.as_secs_f64(), now));
             }
         }
         self.last_token = Some(now);
--- a/src/route/observe.rs
+++ b/src/route/observe.rs
@@ -21,16 +21,16 @@
     }
 
     /// Records that a request for a load report failed.
-    pub fn asked(&mut self, engine: &str, now: Duration) {
+    pub fn report_missed(&mut self, engine: &str, now: Duration) {
         if let Some(view) = self.views.get_mut(engine) {
-            view.asked(now);
+            view.report_missed(now);
         }
     }
 
     /// Records that another host reported an engine as leaving; valid until `until`.
-    pub fn heard_leaving(&mut self, engine: &str, until: Duration) {
+    pub fn peer_reported_leaving(&mut self, engine: &str, until: Duration) {
         if let Some(view) = self.views.get_mut(engine) {
-            view.heard_leaving(until);
+            view.peer_reported_leaving(until);
         }
     }
 
@@ -66,9 +66,9 @@
     }
 
     /// Records the gap between two tokens, in seconds.
-    pub fn gap_observed(&mut self, engine: &str, gap: f64, now: Duration) {
+    pub fn token_gap_observed(&mut self, engine: &str, gap: f64, now: Duration) {
         if let Some(view) = self.views.get_mut(engine) {
-            view.gap_observed(gap, now);
+            view.token_gap_observed(gap, now);
         }
     }
 
@@ -82,13 +82,17 @@
     /// Records a failed call. Ejects the engine after several consecutive failures, unless too many engines
     /// are ejected already. Returns whether it was ejected.
     pub fn failed(&mut self, engine: &str, now: Duration) -> bool {
-        let out = self.views.values().filter(|view| view.is_out(now)).count();
+        let out = self
+            .views
+            .values()
+            .filter(|view| view.is_ejected(now))
+            .count();
         let most = (self.views.len() as f64 * self.tuning.eject_share) as usize;
         let until = now + self.tuning.eject_time;
         let Some(view) = self.views.get_mut(engine) else {
             return false;
         };
-        let ejects = view.failed() >= FAILURES_TO_EJECT && !view.is_out(now) && out < most;
+        let ejects = view.failed() >= FAILURES_TO_EJECT && !view.is_ejected(now) && out < most;
         if ejects {
             view.eject(until);
         }
--- a/src/route/placement.rs
+++ b/src/route/placement.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone)]
 pub struct PlacementRequest {
     /// Number of this request, unique within the scheduler.
-    pub ticket: u64,
+    pub queue_id: u64,
     /// Id of the client request, for explanations.
     pub request: FastStr,
     /// Name of the model.
--- a/src/route/policy.rs
+++ b/src/route/policy.rs
@@ -39,7 +39,7 @@
     }
 
     /// Whether requests queue at the host until engines have capacity, and are refused early.
-    pub fn queues_here(self) -> bool {
+    pub fn queues_requests(self) -> bool {
         self == Self::Joint
     }
 }
--- a/src/route/rank.rs
+++ b/src/route/rank.rs
@@ -23,19 +23,21 @@
     // full search.
     pub(super) fn has_any_capacity(&self, now: Duration) -> bool {
         let mut views = self.views.values();
-        let prefill = views
-            .any(|view| view.may_be(EngineRole::Prefill) && self.has_prefill_capacity(view, now));
+        let prefill = views.any(|view| {
+            view.may_have_role(EngineRole::Prefill) && self.has_prefill_capacity(view, now)
+        });
         let mut views = self.views.values();
-        let decode = views.any(|view| view.may_be(EngineRole::Decode) && self.has_free_slot(view));
+        let decode =
+            views.any(|view| view.may_have_role(EngineRole::Decode) && self.has_free_slot(view));
         // If all engines are ejected, the full search produces the refusal.
-        (prefill && decode) || self.views.values().all(|view| view.is_out(now))
+        (prefill && decode) || self.views.values().all(|view| view.is_ejected(now))
     }
 
     // Time until the least busy prefill engine is idle, in seconds.
     pub(super) fn least_backlog(&self, now: Duration) -> f64 {
         let views = self.views.values();
         let times = views
-            .filter(|view| view.may_be(EngineRole::Prefill) && !view.is_out(now))
+            .filter(|view| view.may_have_role(EngineRole::Prefill) && !view.is_ejected(now))
             .map(|view| view.backlog_tokens(&self.tuning, now) as f64 / view.rate(&self.tuning));
         times.reduce(f64::min).unwrap_or(0.0).min(MAX_PREDICTION)
     }
--- a/src/route/scheduler.rs
+++ b/src/route/scheduler.rs
@@ -87,7 +87,7 @@
     }
 
     /// Sets the links to engines that this host does not schedule.
-    pub fn set_others(&mut self, others: BTreeMap<FastStr, Arc<EngineLink>>) {
+    pub fn set_unscheduled(&mut self, others: BTreeMap<FastStr, Arc<EngineLink>>) {
         self.unscheduled = others;
     }
 
@@ -149,33 +149,33 @@
         self.waiting.len()
     }
 
-    /// Adds a request; [`Self::pump`] returns its answer.
-    pub fn ask(&mut self, request: PlacementRequest) {
+    /// Adds a request; [`Self::schedule`] returns its answer.
+    pub fn enqueue(&mut self, request: PlacementRequest) {
         self.waiting.push(request);
     }
 
     /// Removes a request whose caller no longer waits.
-    pub fn withdraw(&mut self, ticket: u64) {
-        self.waiting.retain(|request| request.ticket != ticket);
+    pub fn cancel(&mut self, queue_id: u64) {
+        self.waiting.retain(|request| request.queue_id != queue_id);
     }
 
     /// Answers every waiting request that can be answered now, in the order of urgency.
-    pub fn pump(&mut self, now: Duration) -> Vec<(u64, PlacementAnswer)> {
+    pub fn schedule(&mut self, now: Duration) -> Vec<(u64, PlacementAnswer)> {
         let mut waiting = std::mem::take(&mut self.waiting);
-        waiting.sort_by_key(|request| (self.urgency(request), request.ticket));
+        waiting.sort_by_key(|request| (self.urgency(request), request.queue_id));
         let mut answers = Vec::new();
         let mut ahead = 0;
         for request in waiting {
             let needs_both = request.stage == PlacementStage::PrefillAndDecode && !request.resumed;
             let skips_search = ahead >= MAX_BLOCKED || !self.has_any_capacity(now);
-            let answer = match needs_both && self.tuning.policy.queues_here() && skips_search {
+            let answer = match needs_both && self.tuning.policy.queues_requests() && skips_search {
                 true => self.refuse_overdue(&request, ahead, now),
                 false => self.answer(&request, ahead, now),
             };
             match answer {
                 Some(answer) => {
                     self.record_placement(&answer, ahead, now);
-                    answers.push((request.ticket, answer));
+                    answers.push((request.queue_id, answer));
                 }
                 None => {
                     ahead += 1;
@@ -212,7 +212,7 @@
         // (docs/performance.md).
         let mut late = None;
         for zone in self.zones_to_try() {
-            match self.place(request, zone, now) {
+            match self.try_place(request, zone, now) {
                 PlacementAttempt::Placed(answer) => return Some(answer),
                 PlacementAttempt::Late(by) => late = late.or(Some(by)),
                 PlacementAttempt::Blocked => {}
@@ -235,7 +235,7 @@
         ahead: usize,
         now: Duration,
     ) -> Option<PlacementAnswer> {
-        if !self.tuning.policy.queues_here() || request.resumed {
+        if !self.tuning.policy.queues_requests() || request.resumed {
             return None;
         }
         let drain = self.placement_interval.unwrap_or(0.0) * ahead as f64;
@@ -261,7 +261,7 @@
         [Some(self.zone.clone()), None]
     }
 
-    fn place(
+    fn try_place(
         &mut self,
         request: &PlacementRequest,
         zone: Option<FastStr>,
@@ -280,7 +280,7 @@
         let (Some(prefill), Some(decode)) = (prefills.first(), decodes.first()) else {
             return PlacementAttempt::Blocked;
         };
-        if self.tuning.policy.queues_here() {
+        if self.tuning.policy.queues_requests() {
             if let Some(by) = self.lateness(request, prefill, now) {
                 return PlacementAttempt::Late(by);
             }
--- a/src/route/shared.rs
+++ b/src/route/shared.rs
@@ -23,15 +23,15 @@
 };
 
 /// Interval at which waiting requests are retried without any other event.
-const PUMP_PERIOD: Duration = Duration::from_millis(10);
+const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 /// An [`EngineScheduler`] shared by tasks.
 #[derive(Debug)]
 pub struct SharedScheduler {
     inner: Mutex<SchedulerState>,
     clock: HostClock,
-    asked: Notify,
-    next_ticket: AtomicU64,
+    request_added: Notify,
+    next_queue_id: AtomicU64,
 }
 
 #[derive(Debug)]
@@ -49,8 +49,8 @@
                 answers: HashMap::new(),
             }),
             clock,
-            asked: Notify::new(),
-            next_ticket: AtomicU64::new(1),
+            request_added: Notify::new(),
+            next_queue_id: AtomicU64::new(1),
         })
     }
 
@@ -72,41 +72,41 @@
         let result = change(&mut inner.scheduler, now);
         let answers = match inner.scheduler.waiting() {
             0 => Vec::new(),
-            _ => inner.scheduler.pump(now),
+            _ => inner.scheduler.schedule(now),
         };
-        for (ticket, answer) in answers {
-            inner.deliver(ticket, answer);
+        for (queue_id, answer) in answers {
+            inner.deliver(queue_id, answer);
         }
         result
     }
 
     /// Records an observation that frees no capacity, so that no waiting request has to be retried.
-    pub fn note(&self, note: impl FnOnce(&mut EngineScheduler, Duration)) {
+    pub fn record(&self, record: impl FnOnce(&mut EngineScheduler, Duration)) {
         let mut inner = self.inner.lock().expect("scheduler lock");
         let now = self.now();
-        note(&mut inner.scheduler, now);
+        record(&mut inner.scheduler, now);
     }
 
     /// Waits for the answer to a request. If the caller stops waiting, the request is removed and its engines
     /// are released.
-    pub async fn ask(&self, mut request: PlacementRequest) -> PlacementAnswer {
-        let ticket = self.next_ticket.fetch_add(1, Ordering::Relaxed);
-        request.ticket = ticket;
+    pub async fn place(&self, mut request: PlacementRequest) -> PlacementAnswer {
+        let queue_id = self.next_queue_id.fetch_add(1, Ordering::Relaxed);
+        request.queue_id = queue_id;
         let tokens = request.tokens;
         let (sender, receiver) = oneshot::channel();
         self.inner
             .lock()
             .expect("scheduler lock")
             .answers
-            .insert(ticket, sender);
+            .insert(queue_id, sender);
         let mut pending = PendingRequest {
             scheduler: self,
-            ticket,
+            queue_id,
             tokens,
             receiver,
         };
-        self.change(|scheduler, _| scheduler.ask(request));
-        self.asked.notify_one();
+        self.change(|scheduler, _| scheduler.enqueue(request));
+        self.request_added.notify_one();
         match (&mut pending.receiver).await {
             Ok(answer) => answer,
             Err(_) => {
@@ -117,12 +117,12 @@
     }
 
     /// Retries the waiting requests periodically, for as long as the host runs.
-    pub async fn run_pump(self: Arc<Self>) {
+    pub async fn run_periodically(self: Arc<Self>) {
         loop {
             if self.read(EngineScheduler::waiting) == 0 {
-                self.asked.notified().await;
+                self.request_added.notified().await;
             }
-            tokio::time::sleep(PUMP_PERIOD).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
             self.change(|_, _| ());
         }
     }
@@ -143,8 +143,8 @@
 
 impl SchedulerState {
     // If the caller has stopped waiting, the drop of PendingRequest has removed the sender.
-    fn deliver(&mut self, ticket: u64, answer: PlacementAnswer) {
-        let sender = self.answers.remove(&ticket);
+    fn deliver(&mut self, queue_id: u64, answer: PlacementAnswer) {
+        let sender = self.answers.remove(&queue_id);
         debug_assert!(sender.is_some(), "a request is answered once");
         if let Some(sender) = sender {
             // If the receiver is being dropped, its drop handles the answer.
@@ -155,7 +155,7 @@
 
 struct PendingRequest<'a> {
     scheduler: &'a SharedScheduler,
-    ticket: u64,
+    queue_id: u64,
     tokens: u64,
     receiver: oneshot::Receiver<PlacementAnswer>,
 }
@@ -164,8 +164,8 @@
     fn drop(&mut self) {
         {
             let mut inner = self.scheduler.inner.lock().expect("scheduler lock");
-            inner.answers.remove(&self.ticket);
-            inner.scheduler.withdraw(self.ticket);
+            inner.answers.remove(&self.queue_id);
+            inner.scheduler.cancel(self.queue_id);
         }
         // Release the engines of an answer that was never read.
         if let Ok(answer) = self.receiver.try_recv() {
--- a/src/route/tests.rs
+++ b/src/route/tests.rs
@@ -61,10 +61,10 @@
     scheduler
 }
 
-fn request(ticket: u64, tokens: u64, arrived: Duration) -> PlacementRequest {
+fn request(queue_id: u64, tokens: u64, arrived: Duration) -> PlacementRequest {
     PlacementRequest {
-        ticket,
-        request: FastStr::from_string(format!("r{ticket}")),
+        queue_id,
+        request: FastStr::from_string(format!("r{queue_id}")),
         model: MODEL,
         prefills: Arc::new([LabelSelector::label("role", "prefill")]),
         decodes: Arc::new([LabelSelector::label("role", "decode")]),
@@ -88,8 +88,8 @@
 #[test]
 fn least_used_decode_engine_is_chosen_and_counted_at_once() {
     let mut scheduler = scheduler();
-    scheduler.ask(request(1, 100, Duration::ZERO));
-    let answers = scheduler.pump(Duration::ZERO);
+    scheduler.enqueue(request(1, 100, Duration::ZERO));
+    let answers = scheduler.schedule(Duration::ZERO);
     let PlacementAnswer::Placed { prefill, decode } = &answers[0].1 else {
         panic!("expected a placement");
     };
@@ -101,8 +101,8 @@
 fn late_request_is_refused_before_its_prefill() {
     let mut scheduler = scheduler();
     scheduler.reported("p", report(EngineRole::Prefill, 0, 60_000), Duration::ZERO);
-    scheduler.ask(request(1, 100, Duration::ZERO));
-    let answers = scheduler.pump(Duration::ZERO);
+    scheduler.enqueue(request(1, 100, Duration::ZERO));
+    let answers = scheduler.schedule(Duration::ZERO);
     assert_eq!(code(&answers[0].1), Some(RefusalCode::Overloaded));
     assert_eq!(scheduler.view("p").expect("known").own_work(), (0, 0));
 }
@@ -113,11 +113,11 @@
     for engine in ["d1", "d2"] {
         scheduler.reported(engine, report(EngineRole::Decode, 20, 0), Duration::ZERO);
     }
-    scheduler.ask(request(1, 100, Duration::ZERO));
-    assert!(scheduler.pump(Duration::ZERO).is_empty());
+    scheduler.enqueue(request(1, 100, Duration::ZERO));
+    assert!(scheduler.schedule(Duration::ZERO).is_empty());
     let later = Duration::from_millis(100);
     scheduler.reported("d2", report(EngineRole::Decode, 5, 0), later);
-    let answers = scheduler.pump(later);
+    let answers = scheduler.schedule(later);
     assert_eq!(code(&answers[0].1), None);
 }
 
@@ -125,9 +125,9 @@
 fn leaving_engine_is_not_chosen() {
     let mut scheduler = scheduler();
     scheduler.set_leaving("d1", true);
-    scheduler.heard_leaving("d2", Duration::from_secs(5));
-    scheduler.ask(request(1, 100, Duration::ZERO));
-    let answers = scheduler.pump(Duration::ZERO);
+    scheduler.peer_reported_leaving("d2", Duration::from_secs(5));
+    scheduler.enqueue(request(1, 100, Duration::ZERO));
+    let answers = scheduler.schedule(Duration::ZERO);
     assert_eq!(code(&answers[0].1), Some(RefusalCode::NoBackend));
 }
 
@@ -136,11 +136,11 @@
 #[test]
 fn scheduling_with_an_earlier_time_is_harmless() {
     let mut scheduler = scheduler();
-    for (ticket, at) in [(1, 20), (2, 10), (3, 15)] {
+    for (queue_id, at) in [(1, 20), (2, 10), (3, 15)] {
         let now = Duration::from_millis(at);
-        scheduler.ask(request(ticket, 10, now));
-        scheduler.ask(request(ticket + 10, 10, now));
-        scheduler.pump(now);
+        scheduler.enqueue(request(queue_id, 10, now));
+        scheduler.enqueue(request(queue_id + 10, 10, now));
+        scheduler.schedule(now);
     }
 }
 
@@ -161,8 +161,8 @@
             scheduler.reported("p", report(EngineRole::Prefill, 0, 0), now);
             scheduler.reported("d1", report(EngineRole::Decode, 20, 0), now);
         });
-        let asked = shared.ask(request(0, 100, Duration::ZERO));
-        let waited = tokio::time::timeout(Duration::from_millis(50), asked).await;
+        let placement = shared.place(request(0, 100, Duration::ZERO));
+        let waited = tokio::time::timeout(Duration::from_millis(50), placement).await;
         assert!(waited.is_err(), "no decode slot is free");
         shared.read(|scheduler| {
             assert_eq!(scheduler.waiting(), 0);
--- a/src/route/view.rs
+++ b/src/route/view.rs
@@ -41,7 +41,7 @@
     pub leaving: bool,
     report: Option<LoadReport>,
     reported_at: Option<Duration>,
-    heard_leaving: Duration,
+    peer_leaving_until: Duration,
     own_prefill_tokens: u64,
     own_prefills: u32,
     own_decodes: u32,
@@ -65,7 +65,7 @@
             leaving: false,
             report: None,
             reported_at: None,
-            heard_leaving: Duration::ZERO,
+            peer_leaving_until: Duration::ZERO,
             own_prefill_tokens: 0,
             own_prefills: 0,
             own_decodes: 0,
@@ -95,13 +95,13 @@
     }
 
     /// Records that a request for a report failed.
-    pub fn asked(&mut self, now: Duration) {
+    pub fn report_missed(&mut self, now: Duration) {
         self.reported_at = Some(now);
     }
 
     /// Records that another host reported the engine as leaving; valid until `until`.
-    pub fn heard_leaving(&mut self, until: Duration) {
-        self.heard_leaving = until;
+    pub fn peer_reported_leaving(&mut self, until: Duration) {
+        self.peer_leaving_until = until;
     }
 
     /// Whether the engine itself reports that it is leaving.
@@ -111,7 +111,7 @@
 
     /// Whether new work of this role and model may be sent to the engine.
     pub fn is_usable(&self, role: EngineRole, model: &str, now: Duration) -> bool {
-        let leaving = self.leaving || self.says_leaving() || now < self.heard_leaving;
+        let leaving = self.leaving || self.says_leaving() || now < self.peer_leaving_until;
         let fits = self.report.as_ref().is_none_or(|report| {
             report.role == role && report.models.iter().any(|loaded| loaded == model)
         });
@@ -119,14 +119,14 @@
     }
 
     /// Whether the engine has this role or has not reported one yet.
-    pub fn may_be(&self, role: EngineRole) -> bool {
+    pub fn may_have_role(&self, role: EngineRole) -> bool {
         self.report
             .as_ref()
             .is_none_or(|report| report.role == role)
     }
 
     /// Whether the engine is ejected because of failures or as an outlier.
-    pub fn is_out(&self, now: Duration) -> bool {
+    pub fn is_ejected(&self, now: Duration) -> bool {
         now < self.ejected_until
     }
 
@@ -195,7 +195,7 @@
     }
 
     /// Records the gap between two tokens, in seconds.
-    pub fn gap_observed(&mut self, gap: f64, now: Duration) {
+    pub fn token_gap_observed(&mut self, gap: f64, now: Duration) {
         self.failures = 0;
         let known = self.token_gap.map(|(gap, _)| gap);
         self.token_gap = Some((mean(known, gap), now));
