--- a/tests/account_limits.rs
+++ b/tests/account_limits.rs
@@ -270,13 +270,13 @@
     let account = AccountKey::of("hot");
     let names: Vec<FastStr> = ["z-a", "z-b", "z-c"].map(FastStr::from).to_vec();
     let tolerance = limit_sim::TOLERANCE;
-    let unheard = Duration::from_millis(600);
+    let silence = Duration::from_millis(600);
     let mut admitted = 0.0;
     for (index, zone) in names.iter().enumerate() {
         let mut ledger = ZoneLedger::new(index as u64 + 1, zone.clone(), tolerance, Duration::ZERO);
         let others = names.iter().filter(|other| *other != zone);
         ledger.set_zones(&others.cloned().collect::<BTreeSet<_>>());
-        for now in (0..unheard.as_millis() as u64).step_by(10) {
+        for now in (0..silence.as_millis() as u64).step_by(10) {
             let now = Duration::from_millis(now);
             if ledger.charge(account, limit, REQUEST_UNITS, now).is_ok() {
                 admitted += REQUEST_UNITS;
@@ -284,7 +284,7 @@
         }
     }
     let left = 0.1 * (limit.burst + tolerance.beyond(limit));
-    let most = left + limit.rate * unheard.as_secs_f64() + names.len() as f64 * REQUEST_UNITS;
+    let most = left + limit.rate * silence.as_secs_f64() + names.len() as f64 * REQUEST_UNITS;
     assert!(admitted <= most, "{admitted} of {most}");
 }
 
--- a/tests/limit_sim/mod.rs
+++ b/tests/limit_sim/mod.rs
@@ -416,11 +416,11 @@
         self.measured_from = self.now;
         let counts = self.counts;
         // A request and its answer with framing; an entry of a report or of totals.
-        let asked = counts.asks as f64 * 240.0 + counts.reported as f64 * 16.0;
-        let told = counts.sums_sent as f64 * 16.0;
+        let host_bytes = counts.asks as f64 * 240.0 + counts.reported as f64 * 16.0;
+        let sums_bytes = counts.sums_sent as f64 * 16.0;
         (
-            asked / seconds / self.hosts.len() as f64,
-            told / seconds / self.zones as f64,
+            host_bytes / seconds / self.hosts.len() as f64,
+            sums_bytes / seconds / self.zones as f64,
         )
     }
 }
