--- a/src/account/directory.rs
+++ b/src/account/directory.rs
@@ -1,4 +1,4 @@
-//! The accounts of a configuration, found by the hash of a key.
+//! Index of the configured accounts by key hash and by name.
 
 use {
     super::{
@@ -8,7 +8,7 @@
     std::{collections::HashMap, rc::Rc},
 };
 
-/// The accounts of a configuration, laid out for look-ups.
+/// Index of the configured accounts.
 #[derive(Debug, Default)]
 pub struct AccountDirectory {
     by_key: HashMap<KeyHash, Rc<ClientAccount>>,
@@ -16,48 +16,49 @@
 }
 
 impl AccountDirectory {
-    /// Lays accounts out. A key that two of them claim opens nothing: nobody could say whose request it is.
+    /// Builds the index. A key listed by two accounts grants no access, as its requests could not be
+    /// attributed.
     pub fn new(accounts: &[ClientAccount]) -> Self {
-        let mut claims: HashMap<KeyHash, Option<Rc<ClientAccount>>> = HashMap::new();
+        let mut owners: HashMap<KeyHash, Option<Rc<ClientAccount>>> = HashMap::new();
         let mut by_name = HashMap::new();
         for account in accounts {
             let account = Rc::new(account.clone());
             by_name.insert(AccountKey::of(&account.name), account.clone());
             for key in &account.keys {
-                let claim = claims.entry(*key).or_insert_with(|| Some(account.clone()));
-                let is_other = claim
+                let owner = owners.entry(*key).or_insert_with(|| Some(account.clone()));
+                let is_other = owner
                     .as_ref()
                     .is_none_or(|holder| holder.name != account.name);
                 if is_other {
-                    *claim = None;
+                    *owner = None;
                 }
             }
         }
-        let claims = claims.into_iter();
+        let owners = owners.into_iter();
         Self {
-            by_key: claims
+            by_key: owners
                 .filter_map(|(key, account)| Some((key, account?)))
                 .collect(),
             by_name,
         }
     }
 
-    /// The account that holds a key.
-    pub fn holder(&self, key: &KeyHash) -> Option<Rc<ClientAccount>> {
+    /// Returns the account that owns a key.
+    pub fn owner(&self, key: &KeyHash) -> Option<Rc<ClientAccount>> {
         self.by_key.get(key).cloned()
     }
 
-    /// An account by its name's hash.
+    /// Returns an account by the hash of its name.
     pub fn account(&self, key: AccountKey) -> Option<&Rc<ClientAccount>> {
         self.by_name.get(&key)
     }
 
-    /// Keys that open something.
+    /// Number of usable keys.
     pub fn len(&self) -> usize {
         self.by_key.len()
     }
 
-    /// Whether no key opens anything.
+    /// Whether there is no usable key.
     pub fn is_empty(&self) -> bool {
         self.by_key.is_empty()
     }
--- a/src/bench/fleet.rs
+++ b/src/bench/fleet.rs
@@ -13,7 +13,7 @@
         },
         object::LabelMap,
         operation::{OnceSignal, RequestLimits, RetryBudget, RunnerParts, SharedCrashes},
-        route::{EngineInfo, RoutePolicy, SharedDesk},
+        route::{EngineInfo, RoutePolicy, SharedScheduler},
         standin::engine::{EngineCore, EngineParams},
     },
     faststr::FastStr,
@@ -88,21 +88,22 @@
             let index = hosts.len() as u64;
             let zone = FastStr::from_static_str(zone);
             let seed = plan.seed ^ (index << 32);
-            let desk = SharedDesk::new(zone, plan.tuning.clone(), seed, HostClock::of_runtime());
+            let desk =
+                SharedScheduler::new(zone, plan.tuning.clone(), seed, HostClock::of_runtime());
             let infos = engines.iter().map(|engine| (info(engine), false)).collect();
             desk.change(|desk, _| desk.set_engines(infos));
             let links = desk.clone();
             let find = move |engine: &str| links.read(|desk| desk.link(engine));
             let canceller = Canceller::new(Box::new(find));
             tokio::spawn(canceller.clone().run());
-            tokio::spawn(desk.clone().run_pump());
+            tokio::spawn(desk.clone().run_periodically());
             tokio::spawn(observe(desk.clone(), engines.clone()));
             hosts.push(Arc::new(RunnerParts {
                 desk,
                 namer: AttemptNamer::new(FastStr::from_string(format!("h{index}"))),
                 canceller,
                 budget: Mutex::new(RetryBudget::new(0.1)),
-                limits: life_limits(plan.tuning.policy),
+                limits: request_limits(plan.tuning.policy),
                 crashes: SharedCrashes::new(HostClock::of_runtime()),
             }));
         }
@@ -111,16 +112,16 @@
 }
 
 // A policy without a queue at the host does not wait for room: it gives up after a few refusals.
-fn life_limits(policy: RoutePolicy) -> RequestLimits {
+fn request_limits(policy: RoutePolicy) -> RequestLimits {
     let mut limits = RequestLimits::default();
-    if !policy.queues_here() {
+    if !policy.queues_requests() {
         limits.refusals = REFUSALS_WITHOUT_QUEUE;
     }
     limits
 }
 
 // Reads load by the daemon's rule: the oldest news first, a few reads a second.
-async fn observe(desk: Arc<SharedDesk>, engines: Arc<Vec<BenchEngine>>) {
+async fn observe(desk: Arc<SharedScheduler>, engines: Arc<Vec<BenchEngine>>) {
     let period = Duration::from_millis(250);
     loop {
         let now = desk.now();
@@ -133,7 +134,7 @@
             let Some(engine) = engine else { continue };
             desk.change(|desk, now| match engine.dead.is_set() {
                 true => {
-                    desk.asked(&name, now);
+                    desk.report_missed(&name, now);
                     desk.failed(&name, now);
                 }
                 false => desk.reported(&name, engine.core.load(), now),
--- a/src/operation/runner.rs
+++ b/src/operation/runner.rs
@@ -14,7 +14,7 @@
     crate::{
         engine::{self, AttemptNamer, CallResult, EngineLink, ItemStream},
         relay::RequestDigest,
-        route::{DeskAnswer, PlaceRequest, PlaceStage, SharedDesk},
+        route::{PlacementAnswer, PlacementRequest, PlacementStage, SharedScheduler},
     },
     faststr::FastStr,
     futures::{FutureExt, future::BoxFuture},
@@ -33,7 +33,7 @@
 /// State shared by all requests of a host.
 pub struct RunnerParts {
     /// Chooses engines.
-    pub desk: Arc<SharedDesk>,
+    pub desk: Arc<SharedScheduler>,
     /// Generates attempt names.
     pub namer: AttemptNamer,
     /// Cancels attempts at engines until they acknowledge.
@@ -163,7 +163,7 @@
                 RequestAction::Place { again } => self.place(again, actions),
                 RequestAction::PlaceDecode => {
                     self.release_decode();
-                    self.request_placement(PlaceStage::DecodeOnly(self.kv_expires_at));
+                    self.request_placement(PlacementStage::DecodeOnly(self.kv_expires_at));
                 }
                 RequestAction::Prefill(target) => self.send_prefill(target),
                 RequestAction::Decode {
@@ -192,13 +192,13 @@
             actions.extend(self.handle_event(event));
             return;
         }
-        self.request_placement(PlaceStage::Whole);
+        self.request_placement(PlacementStage::PrefillAndDecode);
     }
 
-    fn request_placement(&mut self, stage: PlaceStage) {
+    fn request_placement(&mut self, stage: PlacementStage) {
         let delivered = self.state.delivered().len();
-        let question = PlaceRequest {
-            ticket: 0,
+        let question = PlacementRequest {
+            queue_id: 0,
             request: self.request.id.clone(),
             model: self.request.model.clone(),
             prefills: self.request.prefills.clone(),
@@ -220,8 +220,8 @@
         let placement = async move {
             check_for_crashes(&parts, digest, unchecked).await;
             match parts.crashes.check(digest, verdict) {
-                Ok(()) => parts.desk.ask(question).await,
-                Err(refusal) => DeskAnswer::Refused(refusal),
+                Ok(()) => parts.desk.place(question).await,
+                Err(refusal) => PlacementAnswer::Refused(refusal),
             }
         };
         self.awaited = Awaited::Desk(placement.boxed(), stage);
@@ -304,7 +304,7 @@
                 let engine = self.origin.engine.clone();
                 self.parts
                     .desk
-                    .note(|desk, now| desk.gap_observed(&engine, gap.as_secs_f64(), now));
+                    .record(|desk, now| desk.token_gap_observed(&engine, gap.as_secs_f64(), now));
             }
         }
         self.last_token = Some(now);
@@ -342,14 +342,14 @@
         }
     }
 
-    fn placement_event(&mut self, answer: DeskAnswer, stage: PlaceStage) -> RequestEvent {
+    fn placement_event(&mut self, answer: PlacementAnswer, stage: PlacementStage) -> RequestEvent {
         match answer {
-            DeskAnswer::Refused(refusal) => RequestEvent::PlaceRefused(refusal),
-            DeskAnswer::Placed { prefill, decode } => {
+            PlacementAnswer::Refused(refusal) => RequestEvent::PlaceRefused(refusal),
+            PlacementAnswer::Placed { prefill, decode } => {
                 self.reserved_decode = Some(decode.clone());
                 let decode = self.name_attempt(decode);
                 match (prefill, stage) {
-                    (Some(prefill), PlaceStage::Whole) => {
+                    (Some(prefill), PlacementStage::PrefillAndDecode) => {
                         let tokens = self.prompt_tokens();
                         self.reserved_prefill = Some((prefill.clone(), tokens));
                         let prefill = self.name_attempt(prefill);
--- a/src/relay/parts/accounts.rs
+++ b/src/relay/parts/accounts.rs
@@ -4,8 +4,9 @@
     super::{metric_labels::LimitEnd, shared::RelayParts},
     crate::{
         account::{
-            self, AccountDirectory, AccountKey, AccountLimit, AccountUse, AllowanceDesk,
-            ClientAccount, KeyStanding, LedgerSums, ShownKey, UseChoice, UseReport, ZoneLedger,
+            self, AccountAdmission, AccountDirectory, AccountKey, AccountLimit, AccountUse,
+            AdmissionMode, ClientAccount, KeyStatus, LedgerSums, PresentedKey, UseReport,
+            ZoneLedger,
         },
         operation::{Refusal, RefusalCode},
         relay::config::RelayRoute,
@@ -52,7 +53,7 @@
 /// This host's state of account limits: its allowances, the ledger that it keeps for the zone, and how to query the
 /// host that owns the zone's ledger.
 pub struct AccountGate {
-    allowances: RefCell<AllowanceDesk>,
+    allowances: RefCell<AccountAdmission>,
     ledger: RefCell<ZoneLedger>,
     query: RefCell<Option<Rc<LedgerQuery>>>,
 }
@@ -83,15 +84,15 @@
     pub fn identify(
         &self,
         route: &RelayRoute,
-        shown: ShownKey,
+        shown: PresentedKey,
     ) -> Result<Option<Rc<ClientAccount>>, Refusal> {
         let routes = self.routes();
         let accounts = routes.as_ref().and_then(|routes| routes.accounts());
         let proof = self.cluster.borrow().proof_age(self.now());
         let rules = &self.settings.bounds.keys;
-        match account::judge_key(accounts, shown, route.is_public, proof, rules) {
-            KeyStanding::Account(account) => {
-                let life = rules.proof_life();
+        match account::check_key(accounts, shown, route.is_public, proof, rules) {
+            KeyStatus::Account(account) => {
+                let life = rules.max_proof_age();
                 let is_proved = life.is_none_or(|life| proof.is_some_and(|age| age < life));
                 assert!(
                     is_proved || route.is_public,
@@ -99,12 +100,12 @@
                 );
                 Ok(Some(account))
             }
-            KeyStanding::Open => Ok(None),
-            KeyStanding::Unknown => Err(Refusal::not_run(
+            KeyStatus::NotRequired => Ok(None),
+            KeyStatus::Unknown => Err(Refusal::not_run(
                 RefusalCode::UnknownCaller,
                 "no key in force was shown",
             )),
-            KeyStanding::Unsure => {
+            KeyStatus::Unverified => {
                 self.metrics.unsure_keys.inc();
                 let age = proof.map_or(-1, |age| age.as_millis() as i64);
                 let text = format!(
@@ -137,9 +138,9 @@
             .borrow()
             .choose(charge.account, self.now());
         let admission = match choice {
-            UseChoice::Free => self.admit_by_share(charge, 1.0),
-            UseChoice::Guess(share) => self.admit_by_share(charge, share),
-            UseChoice::Ask => match self.query_ledger(charge, limit, target).await {
+            AdmissionMode::Immediate => self.admit_by_share(charge, 1.0),
+            AdmissionMode::Estimate(share) => self.admit_by_share(charge, share),
+            AdmissionMode::AskLedger => match self.query_ledger(charge, limit, target).await {
                 Ok(answer) => answer,
                 Err(share) => self.admit_by_share(charge, share),
             },
@@ -165,7 +166,7 @@
     fn admit_by_share(&self, charge: UseCharge, share: f64) -> Result<(), Duration> {
         let is_admitted = rand::random_bool(share.clamp(0.0, 1.0));
         let mut allowances = self.accounts.allowances.borrow_mut();
-        allowances.note(charge.account, charge.units, is_admitted);
+        allowances.record(charge.account, charge.units, is_admitted);
         match is_admitted {
             true => Ok(()),
             false => Err(Duration::from_secs(1)),
@@ -180,8 +181,8 @@
         target: Duration,
     ) -> Result<Result<(), Duration>, f64> {
         let patience = target.mul_f64(QUERY_TIMEOUT_PART).min(QUERY_TIMEOUT_MAX);
-        let is_untold = self.accounts.allowances.borrow().is_untold();
-        let attempts = if is_untold { LEDGER_QUERY_ATTEMPTS } else { 1 };
+        let lacks_data = self.accounts.allowances.borrow().lacks_usage_data();
+        let attempts = if lacks_data { LEDGER_QUERY_ATTEMPTS } else { 1 };
         for _ in 0..attempts {
             let decision = self.query_ledger_owner(charge, limit, patience).await?;
             if let Some(decision) = decision {
@@ -189,8 +190,8 @@
             }
         }
         let mut allowances = self.accounts.allowances.borrow_mut();
-        allowances.note_silent(self.now());
-        Err(allowances.guessed_share(charge.account))
+        allowances.record_no_answer(self.now());
+        Err(allowances.estimated_share(charge.account))
     }
 
     // Queries the current owner of the zone's ledger; `None` if it does not answer.
@@ -211,11 +212,11 @@
                     .accounts
                     .allowances
                     .borrow()
-                    .guessed_share(charge.account));
+                    .estimated_share(charge.account));
             }
             let now = self.now();
             let mut ledger = self.accounts.ledger.borrow_mut();
-            ledger.note_kept(now);
+            ledger.mark_in_use(now);
             return Ok(Some(ledger.charge(
                 charge.account,
                 limit,
@@ -233,7 +234,7 @@
 
     /// Returns whether this host has received no data on the use of accounts yet.
     pub fn lacks_account_data(&self) -> bool {
-        self.accounts.allowances.borrow().is_untold()
+        self.accounts.allowances.borrow().lacks_usage_data()
     }
 
     /// Refunds the charge for a request that was admitted but certainly did not run.
@@ -241,23 +242,26 @@
         self.metrics
             .limited(account, charge.units, LimitEnd::GivenBack);
         let mut allowances = self.accounts.allowances.borrow_mut();
-        allowances.give_back(charge.account, charge.units);
+        allowances.refund(charge.account, charge.units);
     }
 
     /// Takes the units that this host admitted without the ledger since its last report.
     pub fn take_unreported_uses(&self) -> Vec<AccountUse> {
-        self.accounts.allowances.borrow_mut().take_untold()
+        self.accounts.allowances.borrow_mut().take_unreported()
     }
 
     /// Puts back units from a report that was not delivered.
     pub fn restore_uses(&self, uses: Vec<AccountUse>) {
-        self.accounts.allowances.borrow_mut().put_back(uses);
+        self.accounts
+            .allowances
+            .borrow_mut()
+            .restore_unreported(uses);
     }
 
     /// Applies a report from the owner of the zone's ledger.
     pub fn apply_use_report(&self, report: &UseReport) {
         let mut allowances = self.accounts.allowances.borrow_mut();
-        allowances.set_near(report.near.as_deref(), self.now());
+        allowances.set_near_limit(report.near.as_deref(), self.now());
     }
 }
 
@@ -274,15 +278,15 @@
         let now = self.now();
         let near = with_accounts(self, |accounts| {
             let mut ledger = self.accounts.ledger.borrow_mut();
-            ledger.note_kept(now);
+            ledger.mark_in_use(now);
             for used in uses {
                 let account = accounts.account(used.account);
                 if let Some(limit) = account.and_then(|account| account.limit) {
-                    ledger.note(*used, limit, now);
+                    ledger.record_use(*used, limit, now);
                 }
             }
-            let is_settled = ledger.is_settled(now);
-            is_settled.then(|| ledger.near(accounts, now).to_vec())
+            let is_warmed_up = ledger.is_warmed_up(now);
+            is_warmed_up.then(|| ledger.near_limit(accounts, now).to_vec())
         });
         UseReport {
             near: near.flatten(),
@@ -300,7 +304,7 @@
         let answer = with_accounts(self, |accounts| {
             let limit = accounts.account(account)?.limit?;
             let mut ledger = self.accounts.ledger.borrow_mut();
-            ledger.note_kept(now);
+            ledger.mark_in_use(now);
             Some(ledger.charge(account, limit, f64::from(units), now))
         });
         answer.flatten()
@@ -312,10 +316,10 @@
         let near = self.near_accounts();
         let answer = with_accounts(self, |accounts| {
             let mut ledger = self.accounts.ledger.borrow_mut();
-            ledger.take_sums(theirs, accounts, now);
-            let mut all = ledger.heard_sums(&near, now);
+            ledger.merge_sums(theirs, accounts, now);
+            let mut all = ledger.recent_peer_sums(&near, now);
             all.retain(|sums| sums.id != theirs.id);
-            all.extend(ledger.answer_sums(&near, now));
+            all.extend(ledger.sums_for_peer(&near, now));
             all
         });
         answer.unwrap_or_default()
@@ -327,7 +331,7 @@
         with_accounts(self, |accounts| {
             let mut ledger = self.accounts.ledger.borrow_mut();
             for sums in all {
-                ledger.take_sums(sums, accounts, now);
+                ledger.merge_sums(sums, accounts, now);
             }
         });
     }
@@ -337,7 +341,7 @@
         let now = self.now();
         let near = with_accounts(self, |accounts| {
             let mut ledger = self.accounts.ledger.borrow_mut();
-            let near = ledger.near(accounts, now).iter();
+            let near = ledger.near_limit(accounts, now).iter();
             near.map(|near| near.account).collect()
         });
         near.unwrap_or_default()
@@ -349,10 +353,10 @@
         let now = self.now();
         let near = self.near_accounts();
         let mut ledger = self.accounts.ledger.borrow_mut();
-        if !ledger.is_kept(now) {
+        if !ledger.is_in_use(now) {
             return None;
         }
-        let sums = ledger.tell_sums(is_whole, &near, now);
+        let sums = ledger.sums_to_broadcast(is_whole, &near, now);
         (is_whole || !sums.uses.is_empty()).then_some(sums)
     }
 
@@ -367,6 +371,6 @@
         let now = self.now();
         let mut ledger = self.accounts.ledger.borrow_mut();
         ledger.set_zones(&zones);
-        with_accounts(self, |accounts| ledger.forget_old(accounts, now));
+        with_accounts(self, |accounts| ledger.evict_expired(accounts, now));
     }
 }
--- a/src/relay/policy/permit_allocator.rs
+++ b/src/relay/policy/permit_allocator.rs
@@ -170,7 +170,7 @@
     now: Duration,
 ) -> RateBucket {
     let burst = limit.map_or(0.0, |limit| rate_and_burst(limit, fraction).burst);
-    RateBucket::filled(burst + level, now)
+    RateBucket::with_level(burst + level, now)
 }
 
 /// The rate and burst for a fraction of a server's limit.
--- a/src/route/rank.rs
+++ b/src/route/rank.rs
@@ -1,11 +1,12 @@
-//! What the desk knows when it decides: who could take a request, who best, and how late it would be.
+//! Inputs of a scheduling decision: the candidate engines, their ranking, and how late the first token would
+//! be.
 
 use {
     super::{
         choose::{self, ScoredEngine},
-        desk::PlaceDesk,
-        place::{PlaceRequest, PlaceStage},
+        placement::{PlacementRequest, PlacementStage},
         policy::RoutePolicy,
+        scheduler::EngineScheduler,
         view::EngineView,
     },
     crate::engine::EngineRole,
@@ -14,66 +15,70 @@
     std::time::Duration,
 };
 
-/// Bound on predicted times, seconds.
+/// Upper bound of predicted times, in seconds.
 const MAX_PREDICTION: f64 = 3_600.0;
 
-impl PlaceDesk {
-    // Whether a prefill and a decode engine of any pool have room: a cheap look before a search.
-    pub(super) fn has_any_room(&self, now: Duration) -> bool {
+impl EngineScheduler {
+    // Whether any prefill and any decode engine have capacity, regardless of pools. A cheap check before a
+    // full search.
+    pub(super) fn has_any_capacity(&self, now: Duration) -> bool {
         let mut views = self.views.values();
-        let prefill =
-            views.any(|view| view.may_be(EngineRole::Prefill) && self.has_room(view, now));
+        let prefill = views.any(|view| {
+            view.may_have_role(EngineRole::Prefill) && self.has_prefill_capacity(view, now)
+        });
         let mut views = self.views.values();
-        let decode = views.any(|view| view.may_be(EngineRole::Decode) && self.has_slot(view));
-        // Without engines that could ever take it, a request is told so by the search.
-        (prefill && decode) || self.views.values().all(|view| view.is_out(now))
+        let decode =
+            views.any(|view| view.may_have_role(EngineRole::Decode) && self.has_free_slot(view));
+        // If all engines are ejected, the full search produces the refusal.
+        (prefill && decode) || self.views.values().all(|view| view.is_ejected(now))
     }
 
-    // Time until the least busy prefill engine is free, seconds.
+    // Time until the least busy prefill engine is idle, in seconds.
     pub(super) fn least_backlog(&self, now: Duration) -> f64 {
         let views = self.views.values();
         let times = views
-            .filter(|view| view.may_be(EngineRole::Prefill) && !view.is_out(now))
+            .filter(|view| view.may_have_role(EngineRole::Prefill) && !view.is_ejected(now))
             .map(|view| view.backlog_tokens(&self.tuning, now) as f64 / view.rate(&self.tuning));
         times.reduce(f64::min).unwrap_or(0.0).min(MAX_PREDICTION)
     }
 
-    // What was computed already goes first, then higher priority, then less slack.
-    pub(super) fn urgency(&self, request: &PlaceRequest) -> (u8, u8, Duration) {
+    // Sort key of waiting requests: those with computed work first, then by priority, then by least slack.
+    pub(super) fn urgency(&self, request: &PlacementRequest) -> (u8, u8, Duration) {
         let stage = match request.stage {
-            PlaceStage::DecodeOnly(_) => 0,
-            PlaceStage::Whole if request.resumed => 1,
-            PlaceStage::Whole => 2,
+            PlacementStage::DecodeOnly(_) => 0,
+            PlacementStage::PrefillAndDecode if request.resumed => 1,
+            PlacementStage::PrefillAndDecode => 2,
         };
         let service = self.service_time(request);
         let slack = self.first_token_by(request).saturating_sub(service);
         (stage, u8::MAX - request.priority, slack)
     }
 
-    // Time that the request takes if nothing stands before it.
-    pub(super) fn service_time(&self, request: &PlaceRequest) -> Duration {
+    // Time that the request takes without queueing.
+    pub(super) fn service_time(&self, request: &PlacementRequest) -> Duration {
         let compute = request.tokens as f64 / self.tuning.prefill_rate;
         Duration::from_secs_f64(compute) + self.after_prefill(request)
     }
 
-    // From the end of the prefill to the first token: the transfer and a decode step.
-    pub(super) fn after_prefill(&self, request: &PlaceRequest) -> Duration {
+    // Time from the end of the prefill to the first token: the transfer and one decode step.
+    pub(super) fn after_prefill(&self, request: &PlacementRequest) -> Duration {
         let bytes = request.tokens as f64 * self.tuning.kv_bytes_per_token;
         let transfer = Duration::from_secs_f64(bytes / self.tuning.link_rate);
         transfer + self.tuning.between_tokens
     }
 
-    // A prompt too long for the target is still served: it has its own time over again.
-    pub(super) fn first_token_by(&self, request: &PlaceRequest) -> Duration {
+    // Time by which the first token is due. A prompt too long for the target is still served: it gets 1.5
+    // times its own service time.
+    pub(super) fn first_token_by(&self, request: &PlacementRequest) -> Duration {
         let target = self.tuning.first_token - self.tuning.margin;
         let own = self.service_time(request).mul_f64(1.5);
         request.arrived + target.max(own)
     }
 
-    // By how much the first token would miss its time, if it would.
+    // How much too late the first token would come, or none if it would be in time.
     pub(super) fn lateness(
         &self,
-        request: &PlaceRequest,
+        request: &PlacementRequest,
         prefill: &ScoredEngine<'_>,
         now: Duration,
     ) -> Option<Duration> {
@@ -87,13 +92,13 @@
             .filter(|late| !late.is_zero())
     }
 
-    // Whether a prefill would start soon enough there for waiting here to gain nothing.
-    pub(super) fn has_room(&self, view: &EngineView, now: Duration) -> bool {
+    // Whether the engine's backlog is short enough that waiting here would gain nothing.
+    pub(super) fn has_prefill_capacity(&self, view: &EngineView, now: Duration) -> bool {
         let ahead = view.backlog_tokens(&self.tuning, now) as f64 / view.rate(&self.tuning);
         ahead <= self.tuning.prefill_backlog.as_secs_f64() && !view.is_full(now)
     }
 
-    pub(super) fn has_slot(&self, view: &EngineView) -> bool {
+    pub(super) fn has_free_slot(&self, view: &EngineView) -> bool {
         let Some(total) = view.slots_total() else {
             return true;
         };
@@ -103,7 +108,7 @@
 
     pub(super) fn candidates<'a>(
         &'a self,
-        request: &'a PlaceRequest,
+        request: &'a PlacementRequest,
         role: EngineRole,
         zone: Option<&'a FastStr>,
         now: Duration,
@@ -121,16 +126,16 @@
             .collect()
     }
 
-    pub(super) fn has_candidates(&self, request: &PlaceRequest, now: Duration) -> bool {
+    pub(super) fn has_candidates(&self, request: &PlacementRequest, now: Duration) -> bool {
         [EngineRole::Prefill, EngineRole::Decode]
             .into_iter()
             .all(|role| !self.candidates(request, role, None, now).is_empty())
     }
 
-    /// The engines of a role that could take a request, best first by the policy.
+    /// Engines of a role that could serve a request, best first by the policy.
     pub(super) fn rank_engines<'a>(
         &'a self,
-        request: &'a PlaceRequest,
+        request: &'a PlacementRequest,
         role: EngineRole,
         zone: Option<&'a FastStr>,
         now: Duration,
@@ -138,7 +143,7 @@
     ) -> Vec<ScoredEngine<'a>> {
         let views = self.candidates(request, role, zone, now);
         if self.tuning.policy == RoutePolicy::RoundRobin {
-            return in_turn(views, self.turn);
+            return round_robin(views, self.turn);
         }
         choose::rank(views, random, |view| match role {
             EngineRole::Prefill => self.prefill_score(request, view, now),
@@ -146,8 +151,9 @@
         })
     }
 
-    // Time until the prompt is computed; one that said it is full comes after all others.
-    fn prefill_score(&self, request: &PlaceRequest, view: &EngineView, now: Duration) -> f64 {
+    // Score of a prefill engine for `joint`: the predicted time until the prompt is computed. An engine that
+    // refused as full gets a penalty of 1 s.
+    fn prefill_score(&self, request: &PlacementRequest, view: &EngineView, now: Duration) -> f64 {
         let policy = self.tuning.policy;
         if policy != RoutePolicy::Joint {
             return choose::prefill_load(policy, view, &self.tuning, now);
@@ -158,7 +164,7 @@
         time.as_secs_f64() + full
     }
 
-    // Use of its slots; one that is slow or full comes after all others.
+    // Score of a decode engine for `joint`: its slot utilization. A slow or full engine gets a penalty of 1.
     fn decode_score(&self, view: &EngineView, now: Duration) -> f64 {
         let policy = self.tuning.policy;
         if policy != RoutePolicy::Joint {
@@ -172,7 +178,7 @@
     }
 }
 
-fn in_turn(views: Vec<&EngineView>, turn: usize) -> Vec<ScoredEngine<'_>> {
+fn round_robin(views: Vec<&EngineView>, turn: usize) -> Vec<ScoredEngine<'_>> {
     let count = views.len().max(1);
     let mut ranked: Vec<ScoredEngine<'_>> = views
         .into_iter()
