--- a/src/filter/completion.rs
+++ b/src/filter/completion.rs
@@ -1,4 +1,4 @@
-//! Completion requests and answers in the form of the OpenAI API.
+//! Completion requests and responses in the format of the OpenAI API.
 
 use {
     crate::operation::{Refusal, RefusalCode},
@@ -7,16 +7,16 @@
     serde_json::{Value, json},
 };
 
-/// Tokens generated when a request does not say.
+/// Maximum number of generated tokens if the request sets none.
 const DEFAULT_MAX_TOKENS: u32 = 1_024;
 
-/// Stands for the text while a chunk's frame is made.
-const TEXT_MARK: &str = "bayplank-token-text";
+/// Placeholder for the token text while a chunk template is built.
+const TEXT_PLACEHOLDER: &str = "bayplank-token-text";
 
-/// Most tokens that a request may ask for.
+/// Largest `max_tokens` that a request may set.
 const MAX_TOKENS_LIMIT: u32 = 32_768;
 
-/// Which of the two calls a request is.
+/// The endpoint that a completion request was sent to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum CompletionStyle {
     /// `/v1/completions`
@@ -25,18 +25,18 @@
     Chat,
 }
 
-/// A completion request, read and checked.
+/// A parsed and validated completion request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CompletionCall {
-    /// Which call it is.
+    /// The endpoint.
     pub style: CompletionStyle,
     /// The model.
     pub model: FastStr,
-    /// The whole prompt; messages are joined.
+    /// The prompt; chat messages are joined into one text.
     pub prompt: FastStr,
-    /// Tokens to generate at most.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// Whether the answer is streamed.
+    /// Whether the response is streamed.
     pub stream: bool,
 }
 
@@ -87,7 +87,7 @@
 }
 
 impl CompletionCall {
-    /// Reads a request's body; what is wrong is named by its field.
+    /// Parses a request body; an error message names the invalid field.
     pub fn read(style: CompletionStyle, body: &[u8]) -> Result<Self, Refusal> {
         let raw: RawCompletion =
             serde_json::from_slice(body).map_err(|error| invalid(format!("body: {error}")))?;
@@ -118,16 +118,16 @@
         })
     }
 
-    /// What stands before and after the text in every token's chunk of a streamed answer, so that
-    /// it is not made anew for each.
-    pub fn token_frame(&self, id: &str) -> (String, String) {
+    /// The JSON before and after the token text in each chunk of a streamed response, built once
+    /// per response rather than for every token.
+    pub fn token_chunk_template(&self, id: &str) -> (String, String) {
         let chunk = match self.style {
             CompletionStyle::Text => self.chunk(
                 id,
-                json!({"index": 0, "text": TEXT_MARK, "finish_reason": null, "logprobs": null}),
+                json!({"index": 0, "text": TEXT_PLACEHOLDER, "finish_reason": null, "logprobs": null}),
             ),
             CompletionStyle::Chat => {
-                let delta = json!({"role": "assistant", "content": TEXT_MARK});
+                let delta = json!({"role": "assistant", "content": TEXT_PLACEHOLDER});
                 self.chunk(
                     id,
                     json!({"index": 0, "delta": delta, "finish_reason": null}),
@@ -135,14 +135,14 @@
             }
         };
         let text = chunk.to_string();
-        let mark = format!("\"{TEXT_MARK}\"");
+        let placeholder = format!("\"{TEXT_PLACEHOLDER}\"");
         let (before, after) = text
-            .split_once(&mark)
-            .expect("the mark stands in the chunk");
+            .split_once(&placeholder)
+            .expect("the placeholder is in the chunk");
         (before.to_owned(), after.to_owned())
     }
 
-    /// The last chunk of a streamed answer.
+    /// The final chunk of a streamed response.
     pub fn end_chunk(&self, id: &str, reason: &str) -> Value {
         match self.style {
             CompletionStyle::Text => self.chunk(
@@ -156,8 +156,8 @@
         }
     }
 
-    /// A whole answer.
-    pub fn whole(&self, id: &str, text: &str, reason: &str, tokens: u32) -> Value {
+    /// The body of a response that is not streamed.
+    pub fn full_body(&self, id: &str, text: &str, reason: &str, tokens: u32) -> Value {
         let prompt_tokens = crate::engine::estimate_tokens(&self.prompt);
         let choice = match self.style {
             CompletionStyle::Text => {
@@ -202,7 +202,7 @@
     }
 }
 
-/// A refusal in the form that clients of the API understand, with the verdict added.
+/// The error body that clients of the OpenAI API expect, extended with the verdict.
 pub fn error_body(refusal: &Refusal) -> Value {
     let kind = match refusal.code.status() {
         400..=428 => "invalid_request_error",
--- a/src/filter/dispatch.rs
+++ b/src/filter/dispatch.rs
@@ -1,4 +1,4 @@
-//! The end of the chain: starts the work of a new operation and gives the caller its answer.
+//! Last step of the filter chain: starts the work of a new operation and returns its response.
 
 use {
     super::{
@@ -29,7 +29,7 @@
     volo_http::response::Response,
 };
 
-/// Ends the request's way through the chain.
+/// Handles a request that has passed every filter.
 pub async fn dispatch(
     traffic: &Arc<Traffic>,
     call: CallContext,
@@ -39,11 +39,11 @@
         CallKind::Models => Ok(list_models(traffic)),
         CallKind::Model(completion) => {
             let completion = completion.clone();
-            answer_model(traffic, call, completion, entry).await
+            handle_model(traffic, call, completion, entry).await
         }
-        CallKind::Plain { .. } => answer_plain(traffic, call, entry).await,
+        CallKind::Plain { .. } => handle_plain(traffic, call, entry).await,
         CallKind::CancelOperation(_) | CallKind::Ticket => {
-            unreachable!("the operation filter answers these")
+            unreachable!("handled by the operation filter")
         }
     }
 }
@@ -60,7 +60,7 @@
     web::json_reply(200, &json!({"object": "list", "data": models}))
 }
 
-async fn answer_model(
+async fn handle_model(
     traffic: &Arc<Traffic>,
     mut call: CallContext,
     completion: Arc<CompletionCall>,
@@ -73,8 +73,8 @@
         return Err(Refusal::not_run(RefusalCode::KeyConflict, text).into());
     };
     let last_event = read_last_event(&call)?;
-    let from = last_event.as_ref().map_or(0, |event| event.position + 1);
-    // The reader is there before the work starts, so that the work is never without a caller.
+    let first_position = last_event.as_ref().map_or(0, |event| event.position + 1);
+    // The reader is created before the work starts, so that the work never runs without a reader.
     let reader = log.reader(0);
     if operation.is_first {
         let request = model_request(traffic, &call, &operation, &route, &completion, last_event);
@@ -82,20 +82,20 @@
         start_model(traffic, call, class, request, log, cancel, entry.clone());
     }
     let id = FastStr::from_string(format!("cmpl-{}", traffic.next_request_id()));
-    let answer = CallerAnswer {
-        frame: completion.token_frame(&id),
+    let answer = ResponseContext {
+        chunk_template: completion.token_chunk_template(&id),
         completion,
         id,
-        from,
+        first_position,
         _entry: entry,
     };
     match answer.completion.stream {
-        true => stream_answer(answer, reader).await,
-        false => whole_answer(answer, reader).await,
+        true => streamed_response(answer, reader).await,
+        false => buffered_response(answer, reader).await,
     }
 }
 
-// The last event that a caller who comes back has.
+// The last event that a reconnecting caller has received.
 fn read_last_event(call: &CallContext) -> Result<Option<EventPosition>, Refusal> {
     let Some(text) = call.header(LAST_EVENT_HEADER) else {
         return Ok(None);
@@ -109,8 +109,8 @@
     }
 }
 
-// A stream that this host does not know is looked for at the engine that its last event names.
-fn adopt(last_event: Option<EventPosition>) -> Option<AdoptedAttempt> {
+// A stream unknown to this host is resumed at the engine named by its last event id.
+fn adopted_attempt(last_event: Option<EventPosition>) -> Option<AdoptedAttempt> {
     let event = last_event?;
     Some(AdoptedAttempt {
         target: EngineAttempt {
@@ -145,7 +145,7 @@
             false => Duration::ZERO,
         },
         digest: RequestDigest::of(&call.tenant.name, &call.target, &call.body),
-        adopted: adopt(last_event),
+        adopted: adopted_attempt(last_event),
     }
 }
 
@@ -163,7 +163,7 @@
         let (id, tenant) = (request.id.clone(), request.tenant.clone());
         let digest = request.digest;
         let (end, stats) = run_request(traffic.parts.clone(), request, log, cancel).await;
-        // That it runs well elsewhere speaks for nothing where an engine broke off over its prompt.
+        // A success elsewhere does not count if a prefill engine broke off while handling this prompt.
         if matches!(end, RequestEnd::Answered { .. }) && !stats.prefill_broke {
             traffic.parts.crashes.note_good_run(digest);
         }
@@ -187,22 +187,23 @@
                 ("whole_ms", &stats.whole.as_millis()),
             ],
         );
-        // Limits and the stop gate hold until the work has ended, not only until the caller left.
+        // Limit permits and the gate entry are held until the work ends, even after the caller
+        // disconnects.
         drop((call, entry));
     });
 }
 
-struct CallerAnswer {
+struct ResponseContext {
     completion: Arc<CompletionCall>,
     id: FastStr,
-    from: u32,
-    frame: (String, String),
-    // A planned stop waits until the caller has the answer.
+    first_position: u32,
+    chunk_template: (String, String),
+    // Makes a graceful shutdown wait until the response has been sent.
     _entry: Arc<GateEntry>,
 }
 
-async fn whole_answer(
-    answer: CallerAnswer,
+async fn buffered_response(
+    answer: ResponseContext,
     mut reader: ReplayReader<AnswerItem>,
 ) -> Result<Response, FilterEnd> {
     let mut text = String::new();
@@ -210,37 +211,39 @@
         match item {
             AnswerItem::Token { text: token, .. } => text.push_str(&token),
             AnswerItem::End(RequestEnd::Answered { tokens, reason }) => {
-                let body = answer.completion.whole(&answer.id, &text, &reason, tokens);
+                let body = answer
+                    .completion
+                    .full_body(&answer.id, &text, &reason, tokens);
                 return Ok(web::json_reply(200, &body));
             }
             AnswerItem::End(RequestEnd::Refused(refusal)) => return Err(refusal.into()),
         }
     }
-    unreachable!("an answer's log ends with its end")
+    unreachable!("the answer log ends with an End item")
 }
 
-// Headers wait for the first item, so that an early refusal has its own status.
-async fn stream_answer(
-    answer: CallerAnswer,
+// Headers are sent with the first item, so that an early refusal has its own status code.
+async fn streamed_response(
+    answer: ResponseContext,
     mut reader: ReplayReader<AnswerItem>,
 ) -> Result<Response, FilterEnd> {
     let first = loop {
         match reader.next().await {
-            Some(AnswerItem::Token { position, .. }) if position < answer.from => {}
+            Some(AnswerItem::Token { position, .. }) if position < answer.first_position => {}
             Some(AnswerItem::End(RequestEnd::Refused(refusal))) => return Err(refusal.into()),
             Some(item) => break item,
-            None => unreachable!("an answer's log ends with its end"),
+            None => unreachable!("the answer log ends with an End item"),
         }
     };
-    let chunks = answer_chunks(answer, reader, first);
-    let mut response = web::body_reply(200, "text/event-stream", web::stream_body(chunks));
+    let events = sse_events(answer, reader, first);
+    let mut response = web::body_reply(200, "text/event-stream", web::stream_body(events));
     let value = HeaderValue::from_static("no-cache");
     response.headers_mut().insert(header::CACHE_CONTROL, value);
     Ok(response)
 }
 
-fn answer_chunks(
-    answer: CallerAnswer,
+fn sse_events(
+    answer: ResponseContext,
     mut reader: ReplayReader<AnswerItem>,
     first: AnswerItem,
 ) -> impl Stream<Item = Bytes> {
@@ -248,7 +251,7 @@
         let mut next = Some(first);
         while let Some(item) = next {
             let is_end = matches!(item, AnswerItem::End(_));
-            yield chunk(&answer, item);
+            yield sse_event(&answer, item);
             if is_end {
                 return;
             }
@@ -257,7 +260,7 @@
     }
 }
 
-fn chunk(answer: &CallerAnswer, item: AnswerItem) -> Bytes {
+fn sse_event(answer: &ResponseContext, item: AnswerItem) -> Bytes {
     let completion = &answer.completion;
     let text = match item {
         AnswerItem::Token {
@@ -271,7 +274,7 @@
                 position,
             };
             let text = serde_json::to_string(text.as_str()).unwrap_or_default();
-            let (before, after) = &answer.frame;
+            let (before, after) = &answer.chunk_template;
             format!("id: {id}\ndata: {before}{text}{after}\n\n")
         }
         AnswerItem::End(RequestEnd::Answered { reason, .. }) => {
@@ -286,7 +289,7 @@
     Bytes::from(text)
 }
 
-async fn answer_plain(
+async fn handle_plain(
     traffic: &Arc<Traffic>,
     mut call: CallContext,
     entry: Arc<GateEntry>,
@@ -303,7 +306,7 @@
     let outcome = reader
         .next()
         .await
-        .expect("a plain call's log has one item");
+        .expect("the log of a plain call has one item");
     let mut response = match outcome {
         Ok(reply) => plain::plain_response(&reply),
         Err(refusal) => chain::refusal_response(&refusal),
@@ -313,7 +316,8 @@
     Ok(response)
 }
 
-// Runs apart from the caller's connection: what was sent goes on, and its answer is kept.
+// Runs in its own task: a call that was sent continues after the caller disconnects, and its
+// response is kept.
 fn start_plain(
     traffic: &Arc<Traffic>,
     mut call: CallContext,
@@ -324,23 +328,23 @@
     let traffic = traffic.clone();
     tokio::spawn(async move {
         let CallKind::Plain { service, path } = &call.kind else {
-            unreachable!("only plain calls come here")
+            unreachable!("start_plain is called for plain calls only")
         };
-        let began = Instant::now();
-        let sent = PlainCall {
+        let started = Instant::now();
+        let plain_call = PlainCall {
             method: call.method.clone(),
             path: path.to_string(),
             headers: plain::onward_headers(&call.headers),
             body: call.body.clone(),
         };
         let digest = RequestDigest::of(&call.tenant.name, &call.target, &call.body);
-        let outcome = plain::run_plain(&traffic, service, &route, sent, digest).await;
+        let outcome = plain::run_plain(&traffic, service, &route, plain_call, digest).await;
         match &outcome {
             Ok(_) => {
-                let whole = began.elapsed();
+                let elapsed = started.elapsed();
                 traffic
                     .metrics
-                    .plain_ended(&call.tenant.name, &route.class, whole);
+                    .plain_ended(&call.tenant.name, &route.class, elapsed);
             }
             Err(refusal) => traffic.metrics.refused(refusal.code, refusal.verdict),
         }
