--- a/src/filter/dispatch.rs
+++ b/src/filter/dispatch.rs
@@ -163,7 +163,8 @@
         let (id, tenant) = (request.id.clone(), request.tenant.clone());
         let digest = request.digest;
         let (end, stats) = run_request(traffic.parts.clone(), request, log, cancel).await;
-        // A success elsewhere does not count if a prefill engine broke off while handling this prompt.
+        // A success elsewhere does not count if a prefill engine broke off while handling this
+        // prompt.
         if matches!(end, RequestEnd::Answered { .. }) && !stats.prefill_broke {
             traffic.parts.crashes.note_good_run(digest);
         }
@@ -334,7 +335,7 @@
         let plain_call = PlainCall {
             method: call.method.clone(),
             path: path.to_string(),
-            headers: plain::onward_headers(&call.headers),
+            headers: plain::service_headers(&call.headers),
             body: call.body.clone(),
         };
         let digest = RequestDigest::of(&call.tenant.name, &call.target, &call.body);
--- a/src/filter/operation.rs
+++ b/src/filter/operation.rs
@@ -1,4 +1,5 @@
-//! Finds out whether a request is a new operation, a duplicate of one, or another host's.
+//! Decides whether a request is a new operation, a duplicate of a known one, or owned by another
+//! host.
 
 use {
     super::{
@@ -25,10 +26,10 @@
     xxhash_rust::xxh3,
 };
 
-/// Longest key.
-const KEY_LENGTH_MAX: usize = 255;
+/// Maximum length of an idempotency key, in bytes.
+const MAX_KEY_LENGTH: usize = 255;
 
-/// The filter.
+/// Sets the request's operation, or answers or refuses the request.
 pub fn filter<'a>(
     traffic: &'a Arc<Traffic>,
     call: &'a mut CallContext,
@@ -36,7 +37,7 @@
     async move {
         match call.kind.clone() {
             CallKind::Models => Ok(()),
-            CallKind::Ticket => Err(answered(give_ticket(traffic))),
+            CallKind::Ticket => Err(answered(ticket_response(traffic))),
             CallKind::CancelOperation(key) => cancel(traffic, call, key).await,
             CallKind::Model(_) | CallKind::Plain { .. } => admit(traffic, call).await,
         }
@@ -48,14 +49,14 @@
     FilterEnd::Answered(Box::new(response))
 }
 
-fn give_ticket(traffic: &Traffic) -> Response {
+fn ticket_response(traffic: &Traffic) -> Response {
     let ticket = traffic.tickets.issue(traffic.uptime()).to_string();
     let mut response = web::json_reply(200, &json!({ "ticket": ticket }));
     add_ticket(&mut response, &ticket);
     response
 }
 
-/// Puts a ticket in an answer's header.
+/// Adds a ticket header to a response.
 pub fn add_ticket(response: &mut Response, ticket: &str) {
     if let Ok(value) = HeaderValue::from_str(ticket) {
         response.headers_mut().insert(TICKET_HEADER, value);
@@ -63,8 +64,8 @@
 }
 
 async fn admit(traffic: &Arc<Traffic>, call: &mut CallContext) -> Result<(), FilterEnd> {
-    let Some(key) = read_key(call)? else {
-        // Without a key a request is an operation of its own, sent to a backend server once.
+    let Some(key) = operation_key(call)? else {
+        // A request without a key is an operation of its own and is sent to a backend server once.
         call.operation = Some(CallOperation {
             answer: new_answer(&call.kind),
             is_first: true,
@@ -75,49 +76,49 @@
     let repeatable = call.route.as_ref().is_some_and(|route| route.repeatable);
     match traffic.tickets.owner(&key, traffic.uptime()) {
         KeyOwner::Own => {}
-        KeyOwner::Other(ticket) => match forward(traffic, call, &ticket).await {
+        KeyOwner::Other(ticket) => match forward_to_owner(traffic, call, &ticket).await {
             Forwarded::Answered(response) => return Err(answered(*response)),
-            // Work that may run twice goes on here; anything else only its owner may run.
-            Forwarded::Lost(_) if repeatable => {}
-            Forwarded::Lost(refusal) => return Err(refusal.into()),
+            // A repeatable call runs here instead; any other call may run only at its owner.
+            Forwarded::Refused(_) if repeatable => {}
+            Forwarded::Refused(refusal) => return Err(refusal.into()),
         },
         KeyOwner::Gone if repeatable => {}
         KeyOwner::Gone => {
-            return Err(lost("the host that this ticket names was replaced").into());
+            return Err(operation_lost("the host that this ticket names was replaced").into());
         }
-        KeyOwner::OwnExpired => return Err(lost("this ticket is too old").into()),
+        KeyOwner::OwnExpired => return Err(operation_lost("this ticket is too old").into()),
         KeyOwner::Caller if repeatable => {
-            if let Some(home) = traffic.home_of(&call.tenant.name, &key)
+            if let Some(home_host) = traffic.home_of(&call.tenant.name, &key)
                 && call.header(FORWARDED_HEADER).is_none()
             {
-                return forward_to_home(traffic, call, home).await;
+                return forward_to_home_host(traffic, call, home_host).await;
             }
         }
-        KeyOwner::Caller => return Err(answered(demand_ticket(traffic))),
+        KeyOwner::Caller => return Err(answered(ticket_required_response(traffic))),
     }
-    look_up(traffic, call, key)
+    admit_to_table(traffic, call, key)
 }
 
-fn read_key(call: &CallContext) -> Result<Option<FastStr>, Refusal> {
+fn operation_key(call: &CallContext) -> Result<Option<FastStr>, Refusal> {
     if call.headers.get(KEY_HEADER).is_none() {
         return Ok(None);
     }
-    let fits = |key: &&str| !key.is_empty() && key.len() <= KEY_LENGTH_MAX;
-    match call.header(KEY_HEADER).filter(fits) {
+    let has_valid_length = |key: &&str| !key.is_empty() && key.len() <= MAX_KEY_LENGTH;
+    match call.header(KEY_HEADER).filter(has_valid_length) {
         Some(key) => Ok(Some(FastStr::new(key))),
         None => {
-            let text = format!("{KEY_HEADER}: expected 1 to {KEY_LENGTH_MAX} characters");
+            let text = format!("{KEY_HEADER}: expected 1 to {MAX_KEY_LENGTH} characters");
             Err(Refusal::not_run(RefusalCode::InvalidRequest, text))
         }
     }
 }
 
-fn lost(text: &str) -> Refusal {
+fn operation_lost(text: &str) -> Refusal {
     Refusal::new(RunVerdict::MayHaveRun, RefusalCode::OperationLost, text)
 }
 
-// A key that a caller made up does not say who may run it, so no host can be sure to be the only one.
-fn demand_ticket(traffic: &Traffic) -> Response {
+// A key chosen by the caller names no owner, so no host could be sure that it alone runs the call.
+fn ticket_required_response(traffic: &Traffic) -> Response {
     let ticket = traffic.tickets.issue(traffic.uptime()).to_string();
     let text = format!(
         "this call may not be repeated: send it again with the ticket from the {TICKET_HEADER} \
@@ -129,14 +130,18 @@
     response
 }
 
-fn look_up(traffic: &Traffic, call: &mut CallContext, key: FastStr) -> Result<(), FilterEnd> {
+fn admit_to_table(
+    traffic: &Traffic,
+    call: &mut CallContext,
+    key: FastStr,
+) -> Result<(), FilterEnd> {
     let name = OperationName {
         tenant: call.tenant.name.clone(),
         key,
     };
-    let print = fingerprint(call);
+    let request_hash = hash_request(call);
     let mut table = traffic.operations.lock().expect("operation table");
-    let admission = table.admit(name, print, || new_answer(&call.kind));
+    let admission = table.admit(name, request_hash, || new_answer(&call.kind));
     drop(table);
     let (answer, is_first) = match admission {
         Admission::New(answer) => (answer, true),
@@ -159,8 +164,8 @@
     Ok(())
 }
 
-// What makes two requests the same: method, path and body.
-fn fingerprint(call: &CallContext) -> u128 {
+// Hash of method, path and body, by which two requests with one key are compared.
+fn hash_request(call: &CallContext) -> u128 {
     let mut hasher = xxh3::Xxh3::new();
     hasher.update(call.method.as_str().as_bytes());
     hasher.update(b"\n");
@@ -180,20 +185,23 @@
     }
 }
 
-// What became of a request that was passed to the owner of its ticket.
+// Result of forwarding a request to the owner of its ticket.
 enum Forwarded {
     Answered(Box<Response>),
-    Lost(Refusal),
+    Refused(Refusal),
 }
 
-// Another host owns the ticket: only it may run the operation, or say that it did not.
-async fn forward(
+// Forwards to the host that owns the ticket: only that host may run the operation, or state that it
+// did not run.
+async fn forward_to_owner(
     traffic: &Arc<Traffic>,
     call: &CallContext,
     ticket: &OperationTicket,
 ) -> Forwarded {
     if call.header(FORWARDED_HEADER).is_some() {
-        return Forwarded::Lost(lost("the ticket's host is not the one it was passed to"));
+        return Forwarded::Refused(operation_lost(
+            "the ticket's host is not the one it was passed to",
+        ));
     }
     let peer = traffic
         .snapshot
@@ -203,29 +211,32 @@
         .find(|peer| peer.name == ticket.host)
         .cloned();
     let Some(peer) = peer else {
-        return Forwarded::Lost(lost("the host that this ticket names is not known"));
+        return Forwarded::Refused(operation_lost(
+            "the host that this ticket names is not known",
+        ));
     };
-    match plain::pass_to_peer(traffic, call, peer.callers).await {
+    match plain::forward_to_peer(traffic, call, peer.callers).await {
         Ok(response) => Forwarded::Answered(Box::new(response)),
-        // The owner may have run it for an earlier copy of this request.
+        // The owner may have run the operation for an earlier duplicate of this request.
         Err(failure) => {
             let text = format!("host {} does not answer: {failure}", ticket.host);
-            Forwarded::Lost(lost(&text).after(Duration::from_secs(1)))
+            Forwarded::Refused(operation_lost(&text).after(Duration::from_secs(1)))
         }
     }
 }
 
-// Duplicates of a repeatable operation meet at one host of the zone; if it is lost, here.
-async fn forward_to_home(
+// Sends duplicates of a repeatable operation to the same host of the zone; if that host does not
+// respond, the operation is handled here.
+async fn forward_to_home_host(
     traffic: &Arc<Traffic>,
     call: &mut CallContext,
-    home: std::net::SocketAddr,
+    home_host: std::net::SocketAddr,
 ) -> Result<(), FilterEnd> {
-    match plain::pass_to_peer(traffic, call, home).await {
+    match plain::forward_to_peer(traffic, call, home_host).await {
         Ok(response) => Err(answered(response)),
         Err(_) => {
-            let key = read_key(call)?.unwrap_or_default();
-            look_up(traffic, call, key)
+            let key = operation_key(call)?.unwrap_or_default();
+            admit_to_table(traffic, call, key)
         }
     }
 }
@@ -236,16 +247,16 @@
     key: FastStr,
 ) -> Result<(), FilterEnd> {
     if let KeyOwner::Other(ticket) = traffic.tickets.owner(&key, traffic.uptime()) {
-        return Err(match forward(traffic, call, &ticket).await {
+        return Err(match forward_to_owner(traffic, call, &ticket).await {
             Forwarded::Answered(response) => answered(*response),
-            Forwarded::Lost(refusal) => refusal.into(),
+            Forwarded::Refused(refusal) => refusal.into(),
         });
     }
-    if let Some(home) = traffic.home_of(&call.tenant.name, &key)
+    if let Some(home_host) = traffic.home_of(&call.tenant.name, &key)
         && call.header(FORWARDED_HEADER).is_none()
         && key.parse::<OperationTicket>().is_err()
     {
-        return forward_to_home(traffic, call, home).await;
+        return forward_to_home_host(traffic, call, home_host).await;
     }
     let name = OperationName {
         tenant: call.tenant.name.clone(),
@@ -262,7 +273,7 @@
             cancel.set();
             Err(answered(web::json_reply(200, &json!({"cancelled": true}))))
         }
-        // A plain call that was sent cannot be called back.
+        // A plain call cannot be cancelled once it has been sent.
         Some(OperationAnswer::Plain(_)) => {
             Err(answered(web::json_reply(200, &json!({"cancelled": false}))))
         }
--- a/src/filter/plain.rs
+++ b/src/filter/plain.rs
@@ -1,4 +1,5 @@
-//! Plain calls: one server of the service, tried again only when nothing can run twice.
+//! Calls of plain services: sent to one backend server at a time, and retried only if the call did
+//! not run or is repeatable.
 
 use {
     super::call::{CallContext, CallKind, CallRoute, FORWARDED_HEADER, VERDICT_HEADER},
@@ -16,43 +17,44 @@
     volo_http::response::Response,
 };
 
-/// Servers tried for one call.
-const TRIES: u32 = 3;
+/// Maximum number of attempts per call.
+const MAX_ATTEMPTS: u32 = 3;
 
-/// Added to the time that a passed call may take by itself.
-const PASS_MARGIN: Duration = Duration::from_secs(1);
+/// Added to a call's own timeout when it is forwarded to another host.
+const FORWARD_MARGIN: Duration = Duration::from_secs(1);
 
-/// Time over which callers come back after a backoff, so that they do not return together.
-const BACKOFF_SPREAD: Duration = Duration::from_millis(600);
+/// Range of the random delay added to a backoff, so that callers do not all retry at once.
+const BACKOFF_JITTER: Duration = Duration::from_millis(600);
 
-/// Longest answer of a plain service.
-const REPLY_LIMIT: usize = 4 << 20;
+/// Largest response body accepted from a plain service, in bytes.
+const MAX_REPLY_BYTES: usize = 4 << 20;
 
-/// A plain call, taken out of its request.
+/// The request to send to a plain service.
 #[derive(Debug, Clone)]
 pub struct PlainCall {
-    /// Its method.
+    /// The method.
     pub method: Method,
     /// The path within the service, with its query.
     pub path: String,
-    /// Headers for the service.
+    /// Headers to send.
     pub headers: HeaderMap,
     /// The whole body.
     pub body: Bytes,
 }
 
-/// Headers that go on to a service: not the caller's key, nor what speaks of the connection.
-pub fn onward_headers(headers: &HeaderMap) -> HeaderMap {
-    let mut onward = headers.clone();
-    web::strip_hop_headers(&mut onward);
+/// Headers to send to a service: the request's headers without credentials, `Host` and hop-by-hop
+/// headers.
+pub fn service_headers(headers: &HeaderMap) -> HeaderMap {
+    let mut result = headers.clone();
+    web::strip_hop_headers(&mut result);
     for name in [header::HOST, header::AUTHORIZATION] {
-        onward.remove(name);
+        result.remove(name);
     }
-    onward.remove("x-api-key");
-    onward
+    result.remove("x-api-key");
+    result
 }
 
-/// Runs a plain call.
+/// Sends a plain call, with retries, and returns its outcome.
 pub async fn run_plain(
     traffic: &Traffic,
     service: &Typed<ServiceSpec>,
@@ -60,15 +62,15 @@
     call: PlainCall,
     digest: RequestDigest,
 ) -> PlainOutcome {
-    let time = Duration::from_millis(service.spec.timeout_ms);
+    let timeout = Duration::from_millis(service.spec.timeout_ms);
     let mut tried = Vec::new();
     let mut permit_wait = None;
-    let mut last = no_server(service);
+    let mut last_refusal = no_backend_refusal(service);
     traffic.parts.budget.lock().expect("budget").earn();
     let crashes = &traffic.parts.crashes;
-    let mut sends = 0;
-    while sends < TRIES {
-        crashes.check(digest, last.verdict)?;
+    let mut attempts = 0;
+    while attempts < MAX_ATTEMPTS {
+        crashes.check(digest, last_refusal.verdict)?;
         let in_rotation = |server: &ServerInfo| {
             traffic.server_states.availability(server) == ServerAvailability::Available
         };
@@ -78,7 +80,7 @@
             .choose(&route.servers, zone, &tried, in_rotation);
         let Some(choice) = chosen else {
             let wait = permit_wait.or_else(|| backoff_wait(traffic, route));
-            return Err(with_wait(last, wait));
+            return Err(with_retry_after(last_refusal, wait));
         };
         if let Err(wait) = traffic
             .server_states
@@ -88,16 +90,17 @@
             tried.push(choice.name());
             continue;
         }
-        sends += 1;
-        let sent = web::within(time, send(traffic, &choice, &call)).await;
+        attempts += 1;
+        let sent = web::within(timeout, send(traffic, &choice, &call)).await;
         let failure = match sent {
-            Ok(Ok(reply)) if is_turned_away(&reply) => {
+            Ok(Ok(reply)) if is_rejection(&reply) => {
                 let text = format!("backend server {} turned it away", choice.name());
-                // What an earlier try may have run stays so: its own answer would promise that nothing ran.
-                last = Refusal::new(last.verdict, RefusalCode::BackendLost, text)
+                // Keeps the verdict of earlier attempts: NotRun, which this server sent, would be
+                // wrong if one of them may have run the call.
+                last_refusal = Refusal::new(last_refusal.verdict, RefusalCode::BackendLost, text)
                     .after(Duration::from_secs(1));
-                if !may_repeat(traffic) {
-                    return Err(last);
+                if !spend_retry(traffic) {
+                    return Err(last_refusal);
                 }
                 tried.push(choice.name());
                 continue;
@@ -115,34 +118,36 @@
                 }
                 failure
             }
-            Err(_) => WebFailure::Unanswered(format!("no answer within {} ms", time.as_millis())),
+            Err(_) => {
+                WebFailure::Unanswered(format!("no answer within {} ms", timeout.as_millis()))
+            }
         };
         choice.failed();
-        last = refusal_of(&choice, &failure, last.verdict);
-        let again = last.verdict.allows_retry(route.repeatable);
-        if !again || !may_repeat(traffic) {
-            return Err(last);
+        last_refusal = failure_refusal(&choice, &failure, last_refusal.verdict);
+        let is_retryable = last_refusal.verdict.allows_retry(route.repeatable);
+        if !is_retryable || !spend_retry(traffic) {
+            return Err(last_refusal);
         }
         tried.push(choice.name());
     }
-    Err(last)
+    Err(last_refusal)
 }
 
-// Whether the budget of repeats allows one more; it is counted then.
-fn may_repeat(traffic: &Traffic) -> bool {
+// Takes one retry from the retry budget, if it has one left.
+fn spend_retry(traffic: &Traffic) -> bool {
     let now = traffic.desk.now();
     traffic.parts.budget.lock().expect("budget").spend(now)
 }
 
-// The server did not run it.
-fn is_turned_away(reply: &PlainReply) -> bool {
+// Whether the response says that the server did not run the call.
+fn is_rejection(reply: &PlainReply) -> bool {
     let verdict = reply.headers.get(VERDICT_HEADER);
     let is_not_run = verdict.is_some_and(|verdict| verdict == RunVerdict::NotRun.as_str());
     reply.status == StatusCode::SERVICE_UNAVAILABLE.as_u16() && is_not_run
 }
 
-// When the first server of a call's service takes calls again, where all of them wait for a backoff to end or are leaving;
-// those that come back then are spread.
+// Time until the first server of the service ends its backoff, plus jitter; for use when all
+// servers are backing off or leaving.
 fn backoff_wait(traffic: &Traffic, route: &CallRoute) -> Option<Duration> {
     let servers = traffic.servers.servers();
     let picked = servers
@@ -152,18 +157,19 @@
         ServerAvailability::BackingOff(left) => Some(left),
         ServerAvailability::Available | ServerAvailability::Leaving => None,
     });
-    let spread = rand::random_range(Duration::ZERO..=BACKOFF_SPREAD);
-    waits.min().map(|wait| wait + spread)
+    let jitter = rand::random_range(Duration::ZERO..=BACKOFF_JITTER);
+    waits.min().map(|wait| wait + jitter)
 }
 
-// This host and all others that are known, heard or not: who is cut off keeps to his share.
+// Number of known hosts including this one, reachable or not: a host that is partitioned from the
+// others keeps to its own share of the rate limit.
 fn known_hosts(traffic: &Traffic) -> usize {
     1 + traffic.snapshot.load().peers.len()
 }
 
-// Where rate-limited servers had no permit, the caller is to come back when one is likely; not one whose call may have run at
-// another: that it was not run would not be true.
-fn with_wait(refusal: Refusal, permit_wait: Option<Duration>) -> Refusal {
+// Turns a NotRun refusal into Overloaded with the time to the next likely permit or end of backoff.
+// A call that may have run keeps its refusal, since Overloaded would claim that it did not run.
+fn with_retry_after(refusal: Refusal, permit_wait: Option<Duration>) -> Refusal {
     match permit_wait {
         Some(wait) if refusal.verdict == RunVerdict::NotRun => Refusal {
             code: RefusalCode::Overloaded,
@@ -173,14 +179,14 @@
     }
 }
 
-fn no_server(service: &Typed<ServiceSpec>) -> Refusal {
+fn no_backend_refusal(service: &Typed<ServiceSpec>) -> Refusal {
     let name = &service.metadata.name;
     let text = format!("no backend server of service {name} can take work");
     Refusal::not_run(RefusalCode::NoBackend, text).after(Duration::from_secs(1))
 }
 
-// A try that may have run stays so, whatever a later try says.
-fn refusal_of(choice: &ServerChoice, failure: &WebFailure, before: RunVerdict) -> Refusal {
+// Once an attempt may have run, the verdict stays MayHaveRun whatever later attempts return.
+fn failure_refusal(choice: &ServerChoice, failure: &WebFailure, before: RunVerdict) -> Refusal {
     let verdict = match failure {
         WebFailure::Unreachable(_) => RunVerdict::NotRun,
         _ => RunVerdict::MayHaveRun,
@@ -206,7 +212,7 @@
         )
         .await?;
     let (parts, content) = response.into_parts();
-    let body = web::read_body(content, REPLY_LIMIT, Duration::from_secs(600))
+    let body = web::read_body(content, MAX_REPLY_BYTES, Duration::from_secs(600))
         .await
         .map_err(|failure| WebFailure::Unanswered(format!("answer: {failure:?}")))?;
     let mut headers = parts.headers;
@@ -221,15 +227,15 @@
     })
 }
 
-/// The caller's answer of a plain call's reply.
+/// Converts a service's reply to the response for the caller.
 pub fn plain_response(reply: &PlainReply) -> Response {
     let mut response = web::reply(reply.status, "application/json", reply.body.clone());
     *response.headers_mut() = reply.headers.clone();
     response
 }
 
-/// Passes a request on to another entry host; its answer streams through as it is.
-pub async fn pass_to_peer(
+/// Forwards a request to another entry host and streams its response back unchanged.
+pub async fn forward_to_peer(
     traffic: &Traffic,
     call: &CallContext,
     peer: SocketAddr,
@@ -241,26 +247,27 @@
         headers.insert(FORWARDED_HEADER, value);
     }
     let path = call.target.as_str();
-    let time = pass_time(traffic, call);
+    let timeout = forward_timeout(traffic, call);
     let sent = traffic
         .client
         .send(call.method.clone(), peer, path, headers, call.body.clone());
-    match tokio::time::timeout(time, sent).await {
+    match tokio::time::timeout(timeout, sent).await {
         Ok(answer) => answer,
-        Err(_) => Err(WebFailure::Unanswered(format!("silent for {time:?}"))),
+        Err(_) => Err(WebFailure::Unanswered(format!("silent for {timeout:?}"))),
     }
 }
 
-// Longest wait for another host's answer to begin: a paused host takes connections and is silent.
-fn pass_time(traffic: &Traffic, call: &CallContext) -> Duration {
+// Timeout for the response headers of another host, since a paused host accepts connections but
+// never responds.
+fn forward_timeout(traffic: &Traffic, call: &CallContext) -> Duration {
     match &call.kind {
         CallKind::Plain { service, .. } => {
-            Duration::from_millis(service.spec.timeout_ms) + PASS_MARGIN
+            Duration::from_millis(service.spec.timeout_ms) + FORWARD_MARGIN
         }
         CallKind::Model(completion) if completion.stream => {
-            traffic.settings.first_token * 2 + PASS_MARGIN
+            traffic.settings.first_token * 2 + FORWARD_MARGIN
         }
         CallKind::Model(_) => traffic.settings.whole,
-        CallKind::Models | CallKind::CancelOperation(_) | CallKind::Ticket => PASS_MARGIN,
+        CallKind::Models | CallKind::CancelOperation(_) | CallKind::Ticket => FORWARD_MARGIN,
     }
 }
