--- a/src/filter/call.rs
+++ b/src/filter/call.rs
@@ -1,4 +1,4 @@
-//! A request on its way through the filters.
+//! The state of a request as it moves through the filter chain.
 
 use {
     super::completion::CompletionCall,
@@ -13,64 +13,64 @@
     volo_http::response::Response,
 };
 
-/// Name of the tenant of callers without a key, where they are allowed.
+/// Tenant name of callers without an API key, if the settings allow them.
 pub const ANONYMOUS: FastStr = FastStr::from_static_str("anonymous");
 
-/// Header with the verdict of a refusal.
+/// Header with a refusal's verdict on whether the request ran.
 pub const VERDICT_HEADER: &str = "bayplank-verdict";
 
-/// Header with the request's id, on every answer.
+/// Header with the request id, set on every response.
 pub const REQUEST_HEADER: &str = "bayplank-request-id";
 
-/// Header with a ticket for a later call that may not be repeated.
+/// Header with a ticket to use as the key of a later call that is not repeatable.
 pub const TICKET_HEADER: &str = "bayplank-ticket";
 
-/// Header by which another entry host marks what it passes on.
+/// Header that marks a request forwarded by another entry host.
 pub const FORWARDED_HEADER: &str = "bayplank-forwarded-by";
 
-/// Header with a caller's key of an operation.
+/// Header with the caller's idempotency key.
 pub const KEY_HEADER: &str = "idempotency-key";
 
-/// Header with the last event of a stream that a caller has.
+/// Header with the id of the last stream event that the caller received.
 pub const LAST_EVENT_HEADER: &str = "last-event-id";
 
-/// What a request asks for.
+/// The kind of a request.
 #[derive(Debug, Clone)]
 pub enum CallKind {
-    /// A completion of a model.
+    /// A completion by a model.
     Model(Arc<CompletionCall>),
     /// The list of models.
     Models,
-    /// A call of a plain service, at a path within it.
+    /// A call of a plain service.
     Plain {
         /// The service.
         service: Arc<Typed<ServiceSpec>>,
         /// The path within the service, with its query.
         path: FastStr,
     },
-    /// The end of an operation that the caller no longer wants.
+    /// Cancellation of the operation with this key.
     CancelOperation(FastStr),
     /// A ticket for a later call.
     Ticket,
 }
 
-/// Whom a request is for.
+/// The tenant that a request belongs to.
 #[derive(Debug, Clone)]
 pub struct CallTenant {
     /// The tenant's name.
     pub name: FastStr,
-    /// What its object says; none for anonymous callers.
+    /// The tenant's object; `None` for anonymous callers.
     pub object: Option<Typed<TenantSpec>>,
 }
 
-/// Where a request goes.
+/// The routing decision for a request.
 #[derive(Debug, Clone)]
 pub struct CallRoute {
     /// Class for limits, priorities and metrics.
     pub class: FastStr,
-    /// Larger is more urgent.
+    /// Scheduling priority; larger is more urgent.
     pub priority: u8,
-    /// Whether running it twice does no harm.
+    /// Whether the request may safely run more than once.
     pub repeatable: bool,
     /// Selectors of prefill pools' backend servers.
     pub prefills: Arc<[LabelSelector]>,
@@ -78,45 +78,45 @@
     pub decodes: Arc<[LabelSelector]>,
     /// Selectors of the service's backend servers.
     pub servers: Arc<[LabelSelector]>,
-    /// Longest prompt that the pools take, tokens.
+    /// Longest prompt that the pools accept, in tokens.
     pub max_prompt_tokens: u64,
-    /// The intent that held; none when the pools' defaults do.
+    /// The intent that matched; `None` if the defaults apply.
     pub intent: Option<Typed<IntentSpec>>,
 }
 
-/// How an operation filter found a keyed request.
+/// The operation that a request belongs to; set by the operation filter.
 #[derive(Debug, Clone)]
 pub struct CallOperation {
-    /// The answer to give or to fill.
+    /// The log that receives the operation's answer.
     pub answer: OperationAnswer,
-    /// Whether this request is the one that fills it.
+    /// Whether this request starts the operation rather than duplicating it.
     pub is_first: bool,
-    /// Whether it has a key.
+    /// Whether the request has an idempotency key.
     pub is_keyed: bool,
 }
 
-/// A request on its way through the filters.
+/// A request and what the filters have determined about it.
 #[derive(Debug)]
 pub struct CallContext {
-    /// Its id.
+    /// The request id.
     pub id: FastStr,
-    /// Its method.
+    /// The method.
     pub method: Method,
-    /// Its path and query.
+    /// The path and query.
     pub target: FastStr,
-    /// Its headers.
+    /// The headers.
     pub headers: HeaderMap,
-    /// Its whole body.
+    /// The complete body.
     pub body: Bytes,
-    /// What it asks for.
+    /// The kind of request.
     pub kind: CallKind,
-    /// Whom it is for; set by `identify`.
+    /// The tenant; set by `identify`.
     pub tenant: CallTenant,
-    /// Where it goes; set by `route`.
+    /// The routing decision; set by `route`.
     pub route: Option<Arc<CallRoute>>,
-    /// Its operation; set by `operation`.
+    /// The operation; set by `operation`.
     pub operation: Option<CallOperation>,
-    /// What it holds of the limits; set by `limit`, given back when dropped.
+    /// Permits counted against the tenant's limits; set by `limit`, released when dropped.
     pub permits: Vec<super::limit::LimitPermit>,
 }
 
@@ -127,12 +127,12 @@
     }
 }
 
-/// How a filter ends a request before the chain does.
+/// How a filter ends a request before it reaches dispatch.
 #[derive(Debug)]
 pub enum FilterEnd {
     /// With a refusal.
     Refused(Refusal),
-    /// With an answer.
+    /// With a response.
     Answered(Box<Response>),
 }
 
--- a/src/filter/chain.rs
+++ b/src/filter/chain.rs
@@ -1,4 +1,4 @@
-//! The chain itself: the filters in order, and what all of them share.
+//! The filter chain: the ordered list of filters and the handling of their results.
 
 use {
     super::{
@@ -13,7 +13,7 @@
     volo_http::{request::Request, response::Response},
 };
 
-/// A filter: passes the request on, or ends it.
+/// A filter: returns `Ok` to continue with the next filter, or an error that ends the request.
 pub type Filter =
     for<'a> fn(&'a Arc<Traffic>, &'a mut CallContext) -> BoxFuture<'a, Result<(), FilterEnd>>;
 
@@ -25,10 +25,10 @@
     ("operation", operation::filter),
 ];
 
-/// Answers one request of a caller.
+/// Handles one request from a caller.
 pub async fn answer(traffic: Arc<Traffic>, request: Request) -> Response {
     let id = traffic.next_request_id();
-    let mut response = match pass(&traffic, request, &id).await {
+    let mut response = match run_filters(&traffic, request, &id).await {
         Ok(response) => response,
         Err(FilterEnd::Answered(response)) => *response,
         Err(FilterEnd::Refused(refusal)) => {
@@ -51,7 +51,7 @@
     response
 }
 
-async fn pass(
+async fn run_filters(
     traffic: &Arc<Traffic>,
     request: Request,
     id: &FastStr,
@@ -64,7 +64,7 @@
     dispatch::dispatch(traffic, call, entry).await
 }
 
-/// A refusal as an HTTP answer: status, verdict, when to come back, and the body.
+/// Converts a refusal to an HTTP response with its status, verdict, `Retry-After` and body.
 pub fn refusal_response(refusal: &Refusal) -> Response {
     let body = completion::error_body(refusal);
     let mut response = web::json_reply(refusal.code.status(), &body);
--- a/src/filter/identify.rs
+++ b/src/filter/identify.rs
@@ -1,4 +1,4 @@
-//! Finds whom a request is for, by the key that its caller shows.
+//! Identifies the tenant of a request by its API key.
 
 use {
     super::call::{CallContext, CallTenant, FilterEnd},
@@ -13,7 +13,7 @@
 
 const BEARER: &str = "Bearer ";
 
-/// The filter.
+/// Sets the request's tenant, or refuses the request if its key is not accepted.
 pub fn filter<'a>(
     traffic: &'a Arc<Traffic>,
     call: &'a mut CallContext,
@@ -28,11 +28,11 @@
         return Err(Refusal::not_run(RefusalCode::NotConfigured, text)
             .after(std::time::Duration::from_secs(1)));
     }
-    let shown = call
+    let presented_key = call
         .header("authorization")
         .and_then(|value| value.strip_prefix(BEARER))
         .or_else(|| call.header("x-api-key"));
-    let Some(key) = shown else {
+    let Some(key) = presented_key else {
         return match traffic.settings.anonymous {
             true => Ok(()),
             false => Err(Refusal::not_run(
--- a/src/filter/limit.rs
+++ b/src/filter/limit.rs
@@ -1,4 +1,4 @@
-//! Holds tenants to their limits; each host enforces its share.
+//! Enforces the limits of tenants; each host enforces its own share of them.
 
 use {
     super::call::{CallContext, CallKind, FilterEnd},
@@ -18,10 +18,10 @@
     },
 };
 
-/// Seconds of unused rate that a tenant may use at once.
+/// Burst size, in seconds of the tenant's rate.
 const BURST_SECONDS: f64 = 1.0;
 
-/// The filter.
+/// Takes a permit for the request, or refuses it if its tenant is over a limit.
 pub fn filter<'a>(
     traffic: &'a Arc<Traffic>,
     call: &'a mut CallContext,
@@ -55,37 +55,37 @@
     }
 }
 
-/// Which limit was met, and when asking again may help.
+/// The limit that a request exceeded, and when to retry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OverLimit {
-    /// The limit.
+    /// Name of the limit.
     pub what: &'static str,
-    /// When there is room again, at the earliest.
+    /// Shortest wait after which a retry may succeed.
     pub wait: Duration,
 }
 
 #[derive(Debug, Default)]
-struct TenantUse {
+struct TenantUsage {
     requests: RateBucket,
     tokens: RateBucket,
     concurrent: u32,
 }
 
-fn bounds_of(rate: f64) -> BucketRate {
+fn bucket_rate(rate: f64) -> BucketRate {
     BucketRate {
         rate,
         burst: rate * BURST_SECONDS,
     }
 }
 
-/// What each tenant uses at this host.
+/// Usage of each tenant at this host.
 #[derive(Debug, Default)]
 pub struct TenantLedger {
-    uses: Mutex<HashMap<FastStr, TenantUse>>,
+    usage: Mutex<HashMap<FastStr, TenantUsage>>,
 }
 
 impl TenantLedger {
-    /// Takes one request of `tokens` prompt tokens, if this host's share of the limits allows it.
+    /// Counts one request of `tokens` prompt tokens, if this host's share of the limits allows it.
     pub fn take(
         self: &Arc<Self>,
         tenant: &FastStr,
@@ -94,11 +94,11 @@
         share: f64,
         now: Duration,
     ) -> Result<LimitPermit, OverLimit> {
-        let mut uses = self.uses.lock().expect("tenant ledger");
-        let used = uses.entry(tenant.clone()).or_default();
-        if let Some(most) = limits.concurrent {
-            let most = (f64::from(most) * share).ceil() as u32;
-            if used.concurrent >= most {
+        let mut usage = self.usage.lock().expect("tenant ledger");
+        let used = usage.entry(tenant.clone()).or_default();
+        if let Some(limit) = limits.concurrent {
+            let limit = (f64::from(limit) * share).ceil() as u32;
+            if used.concurrent >= limit {
                 let wait = Duration::from_secs(1);
                 return Err(OverLimit {
                     what: "concurrent requests",
@@ -113,19 +113,19 @@
             .prompt_tokens_per_second
             .map(|rate| rate as f64 * share);
         if let Some(rate) = request_rate
-            && used.requests.is_full(bounds_of(rate), now)
+            && used.requests.is_full(bucket_rate(rate), now)
         {
             return Err(OverLimit {
                 what: "requests a second",
-                wait: used.requests.turn_away(1.0, bounds_of(rate)),
+                wait: used.requests.turn_away(1.0, bucket_rate(rate)),
             });
         }
         if let Some(rate) = token_rate
-            && used.tokens.is_full(bounds_of(rate), now)
+            && used.tokens.is_full(bucket_rate(rate), now)
         {
             return Err(OverLimit {
                 what: "prompt tokens a second",
-                wait: used.tokens.turn_away(tokens as f64, bounds_of(rate)),
+                wait: used.tokens.turn_away(tokens as f64, bucket_rate(rate)),
             });
         }
         if request_rate.is_some() {
@@ -142,7 +142,7 @@
     }
 }
 
-/// One request of a tenant in progress; given back when dropped.
+/// One concurrent request of a tenant; released when dropped.
 #[derive(Debug)]
 pub struct LimitPermit {
     ledger: Arc<TenantLedger>,
@@ -151,8 +151,8 @@
 
 impl Drop for LimitPermit {
     fn drop(&mut self) {
-        let mut uses = self.ledger.uses.lock().expect("tenant ledger");
-        if let Some(used) = uses.get_mut(&self.tenant) {
+        let mut usage = self.ledger.usage.lock().expect("tenant ledger");
+        if let Some(used) = usage.get_mut(&self.tenant) {
             used.concurrent -= 1;
         }
     }
--- a/src/filter/mod.rs
+++ b/src/filter/mod.rs
@@ -1,4 +1,4 @@
-//! The filter chain: what every request passes, one small filter after another.
+//! The filter chain that every request runs through.
 
 mod call;
 mod chain;
--- a/src/filter/receive.rs
+++ b/src/filter/receive.rs
@@ -1,4 +1,4 @@
-//! Reads a request within limits and tells what it asks for.
+//! Reads a request within size and time limits and determines its kind.
 
 use {
     super::{
@@ -17,10 +17,10 @@
     volo_http::request::Request,
 };
 
-/// Bytes that all header fields of a request may have together.
+/// Maximum total size of a request's header fields, in bytes.
 const HEADER_BYTES_LIMIT: usize = 16 << 10;
 
-/// Reads a request; nothing of a wrong one goes further.
+/// Reads and validates a request; an invalid one is refused before any filter runs.
 pub async fn receive(
     traffic: &Traffic,
     request: Request,
@@ -30,7 +30,8 @@
     let limit = traffic.settings.body_limit as usize;
     let time = traffic.settings.body_time;
     if let Err(refusal) = check_headers(traffic, &parts) {
-        // Slow senders of refused bodies get no more time than others.
+        // The body is discarded under the same timeout as an accepted one is read, so that slow
+        // senders gain no time.
         let _ = tokio::time::timeout(time, web::discard(body)).await;
         return Err(refusal);
     }
@@ -69,12 +70,12 @@
         let text = format!("headers: {size} bytes; at most {HEADER_BYTES_LIMIT} are allowed");
         return Err(Refusal::not_run(RefusalCode::TooLarge, text));
     }
-    let announced = parts
+    let content_length = parts
         .headers
         .get(header::CONTENT_LENGTH)
         .and_then(|value| value.to_str().ok()?.parse::<u64>().ok());
     let limit = traffic.settings.body_limit;
-    match announced {
+    match content_length {
         Some(length) if length > limit => Err(too_large(limit as usize)),
         _ => Ok(()),
     }
@@ -97,7 +98,7 @@
 
 fn read_kind(traffic: &Traffic, parts: &Parts, body: &Bytes) -> Result<CallKind, Refusal> {
     let path = parts.uri.path();
-    let wants = |method: Method| match parts.method == method {
+    let expect_method = |method: Method| match parts.method == method {
         true => Ok(()),
         false => {
             let text = format!("{path} takes {method}, not {}", parts.method);
@@ -105,27 +106,27 @@
         }
     };
     if let Some(key) = path.strip_prefix("/v1/operations/") {
-        wants(Method::DELETE)?;
+        expect_method(Method::DELETE)?;
         return Ok(CallKind::CancelOperation(FastStr::new(key)));
     }
     match path {
         "/v1/completions" => {
-            wants(Method::POST)?;
+            expect_method(Method::POST)?;
             let call = CompletionCall::read(CompletionStyle::Text, body)?;
             Ok(CallKind::Model(Arc::new(call)))
         }
         "/v1/chat/completions" => {
-            wants(Method::POST)?;
+            expect_method(Method::POST)?;
             let call = CompletionCall::read(CompletionStyle::Chat, body)?;
             Ok(CallKind::Model(Arc::new(call)))
         }
-        "/v1/models" => wants(Method::GET).map(|()| CallKind::Models),
-        "/v1/tickets" => wants(Method::POST).map(|()| CallKind::Ticket),
+        "/v1/models" => expect_method(Method::GET).map(|()| CallKind::Models),
+        "/v1/tickets" => expect_method(Method::POST).map(|()| CallKind::Ticket),
         _ => read_plain(traffic, parts),
     }
 }
 
-// The service whose path is the longest that fits.
+// Selects the service with the longest matching path prefix.
 fn read_plain(traffic: &Traffic, parts: &Parts) -> Result<CallKind, Refusal> {
     let snapshot = traffic.snapshot.load();
     let path = parts.uri.path();
--- a/src/filter/route.rs
+++ b/src/filter/route.rs
@@ -1,4 +1,5 @@
-//! Finds the intent that holds for a request, and with it pools or servers, class and priority.
+//! Finds the intent that applies to a request, which determines its pools or servers, class and
+//! priority.
 
 use {
     super::call::{CallContext, CallKind, CallRoute, CallTenant, FilterEnd},
@@ -17,7 +18,7 @@
 const DEFAULT_CLASS: FastStr = FastStr::from_static_str("default");
 const DEFAULT_PRIORITY: u8 = 5;
 
-/// The filter.
+/// Sets the request's route, or refuses the request if no pool can serve it.
 pub fn filter<'a>(
     traffic: &'a Arc<Traffic>,
     call: &'a mut CallContext,
@@ -37,8 +38,8 @@
             let route = route_model(objects, &completion.model, call)?;
             let tokens = engine::estimate_tokens(&completion.prompt);
             if tokens > route.max_prompt_tokens {
-                let most = route.max_prompt_tokens;
-                let text = format!("prompt: about {tokens} tokens; the engines take {most}");
+                let limit = route.max_prompt_tokens;
+                let text = format!("prompt: about {tokens} tokens; the engines take {limit}");
                 return Err(Refusal::not_run(RefusalCode::TooLarge, text));
             }
             Ok(Some(route))
@@ -63,7 +64,7 @@
     let intent = find_intent(objects, call, |spec| {
         spec.requests.model.as_ref() == Some(model)
     });
-    let target = intent.and_then(|intent| draw_target(&intent.spec.targets));
+    let target = intent.and_then(|intent| pick_target(&intent.spec.targets));
     let pools = |role: EngineRole| -> Vec<_> {
         match target {
             Some(target) => objects.pools_of(target, model, role).collect(),
@@ -75,11 +76,11 @@
         }
     };
     let (prefills, decodes) = (pools(EngineRole::Prefill), pools(EngineRole::Decode));
-    let longest = prefills.iter().map(|pool| pool.spec.max_prompt_tokens);
+    let prompt_limits = prefills.iter().map(|pool| pool.spec.max_prompt_tokens);
     let mut route = base_route(intent);
-    // A model only computes: running it twice has no effect beyond its cost.
+    // Model requests have no side effects: running one twice only costs compute.
     route.repeatable = true;
-    route.max_prompt_tokens = longest.max().unwrap_or(0);
+    route.max_prompt_tokens = prompt_limits.max().unwrap_or(0);
     route.prefills = prefills
         .iter()
         .map(|pool| pool.spec.selector.clone())
@@ -105,7 +106,7 @@
                 .as_ref()
                 .is_none_or(|start| path.starts_with(start.as_str()))
     });
-    let target = intent.and_then(|intent| draw_target(&intent.spec.targets));
+    let target = intent.and_then(|intent| pick_target(&intent.spec.targets));
     let servers: Arc<[LabelSelector]> = objects
         .services
         .values()
@@ -116,7 +117,7 @@
         .map(|known| known.spec.selector.clone())
         .collect();
     let mut route = base_route(intent);
-    // Safe methods may be repeated whatever an intent says; others only if one says so.
+    // Safe HTTP methods are always repeatable; other methods only if the intent says so.
     route.repeatable |= call.method.is_safe();
     route.servers = servers;
     route
@@ -135,23 +136,23 @@
     }
 }
 
-// Intents are in order of precedence: the first that fits holds.
+// Intents are sorted by precedence: the first match applies.
 fn find_intent<'a>(
     objects: &'a ObjectSet,
     call: &CallContext,
-    fits: impl Fn(&IntentSpec) -> bool,
+    matches_request: impl Fn(&IntentSpec) -> bool,
 ) -> Option<&'a Typed<IntentSpec>> {
     objects
         .intents
         .iter()
-        .find(|intent| fits(&intent.spec) && fits_tenant(&intent.spec, &call.tenant))
+        .find(|intent| matches_request(&intent.spec) && matches_tenant(&intent.spec, &call.tenant))
 }
 
-fn fits_tenant(spec: &IntentSpec, tenant: &CallTenant) -> bool {
-    let none = LabelMap::new();
+fn matches_tenant(spec: &IntentSpec, tenant: &CallTenant) -> bool {
+    let no_labels = LabelMap::new();
     let labels = match &tenant.object {
         Some(object) => &object.metadata.labels,
-        None => &none,
+        None => &no_labels,
     };
     spec.requests
         .tenants
@@ -159,8 +160,8 @@
         .is_none_or(|selector| selector.matches(labels))
 }
 
-// One target by weight.
-fn draw_target(targets: &[IntentTarget]) -> Option<&IntentTarget> {
+// Picks a target at random, by weight.
+fn pick_target(targets: &[IntentTarget]) -> Option<&IntentTarget> {
     let total: u32 = targets.iter().map(|target| target.weight).sum();
     if total == 0 {
         return None;
