--- a/src/host/entry.rs
+++ b/src/host/entry.rs
@@ -1,7 +1,7 @@
-//! Starting and stopping an entry host.
+//! Starts and stops an entry host.
 
 use {
-    super::{operators, passing::PassingThread, traffic::Traffic},
+    super::{operators, passing::RelayThread, traffic::Traffic},
     crate::{
         conf::{HostSettings, SettingsFault},
         control, event, filter,
@@ -19,26 +19,26 @@
     tokio::{net::TcpListener, task::JoinSet},
 };
 
-/// How often a stopping host looks whether its cancels are acknowledged.
-const CANCEL_POLL: Duration = Duration::from_millis(20);
+/// How often a stopping host checks whether its cancels have been acknowledged.
+const CANCEL_POLL_PERIOD: Duration = Duration::from_millis(20);
 
 /// How long a stopping host waits for engines to acknowledge its cancels.
-const CANCEL_PATIENCE: Duration = Duration::from_secs(10);
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Where a running host listens.
+/// The listening addresses of a running host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HostAddresses {
     /// For callers.
     pub callers: SocketAddr,
-    /// For operators and the balancer's checks.
+    /// For operators and the load balancer's health checks.
     pub operators: SocketAddr,
     /// For the other entry hosts.
     pub peers: SocketAddr,
-    /// For callers of requests that are passed through, if there are any.
+    /// For callers of relayed requests, if the relay is enabled.
     pub relay: Option<SocketAddr>,
 }
 
-/// An entry host whose sockets are open and whose loops have not begun.
+/// An entry host with open sockets that does not serve requests yet.
 #[derive(Debug)]
 pub struct EntryHost {
     traffic: Arc<Traffic>,
@@ -52,20 +52,21 @@
 /// A running entry host.
 #[derive(Debug)]
 pub struct RunningHost {
-    /// What its threads share.
+    /// The state shared by the host's threads.
     pub traffic: Arc<Traffic>,
-    /// Where it listens.
+    /// The addresses it listens on.
     pub addresses: HostAddresses,
     control_stop: Arc<OnceSignal>,
     control: Option<JoinHandle<()>>,
-    // Ends when dropped.
-    passing: Mutex<Option<PassingThread>>,
+    // Stops the thread when dropped.
+    relay_thread: Mutex<Option<RelayThread>>,
     stopped: Arc<OnceSignal>,
     servers: Mutex<JoinSet<()>>,
 }
 
 impl EntryHost {
-    /// Opens the host's sockets; a port in use is a fault of the key that names it.
+    /// Opens the host's sockets; failure to listen is reported as a fault of the setting with that
+    /// address.
     pub async fn open(settings: HostSettings, file: &str) -> Result<Self, SettingsFault> {
         let callers = open(file, "callers", settings.callers).await?;
         let operators = open(file, "operators", settings.operators).await?;
@@ -85,35 +86,37 @@
             addresses,
             callers: callers.0,
             operators: operators.0,
-            // The threads of control and of passed-through requests have runtimes of their own.
-            peers: for_thread(file, "peers", peers)?,
+            // The control and relay threads have runtimes of their own.
+            peers: into_std_listener(file, "peers", peers)?,
             relay: match relay {
-                Some(relay) => Some(for_thread(file, "relay", relay)?),
+                Some(relay) => Some(into_std_listener(file, "relay", relay)?),
                 None => None,
             },
         })
     }
 
-    /// Starts the host's traffic on the current runtime and its control on a thread of its own.
+    /// Starts serving on the current runtime, and starts the control thread and, if enabled, the
+    /// relay thread.
     pub fn start(self) -> RunningHost {
         let traffic = self.traffic.clone();
-        let passing = self.relay.map(|listener| {
-            PassingThread::start(traffic.clone(), listener).expect("a thread for passed requests")
+        let relay_thread = self.relay.map(|listener| {
+            RelayThread::start(traffic.clone(), listener).expect("failed to start the relay thread")
         });
         let served = traffic.clone();
         let handler: web::WebHandler =
             Arc::new(move |request| filter::answer(served.clone(), request).boxed());
         let stopped = Arc::new(OnceSignal::default());
-        let hold = stopped.clone();
-        // The library's own exit gives up after half a minute; it is held back until we are done.
-        let hook: web::StopHook = Box::new(move || async move { hold.wait().await }.boxed());
+        let drained = stopped.clone();
+        // Volo's own graceful shutdown gives up after 30 seconds; this hook delays it until the drain
+        // has ended.
+        let hook: web::StopHook = Box::new(move || async move { drained.wait().await }.boxed());
         let mut servers = JoinSet::new();
         servers.spawn(web::serve(self.callers, handler, Some(hook)));
         let served = traffic.clone();
         let handler: web::WebHandler =
             Arc::new(move |request| operators::answer(served.clone(), request).boxed());
-        let hold = stopped.clone();
-        let hook: web::StopHook = Box::new(move || async move { hold.wait().await }.boxed());
+        let drained = stopped.clone();
+        let hook: web::StopHook = Box::new(move || async move { drained.wait().await }.boxed());
         servers.spawn(web::serve(self.operators, handler, Some(hook)));
         tokio::spawn(traffic.desk.clone().run_pump());
         tokio::spawn(traffic.parts.canceller.clone().run());
@@ -136,7 +139,7 @@
             addresses: self.addresses,
             control_stop,
             control: Some(control),
-            passing: Mutex::new(passing),
+            relay_thread: Mutex::new(relay_thread),
             stopped,
             servers: Mutex::new(servers),
         }
@@ -153,9 +156,9 @@
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
-            .expect("a runtime for control");
+            .expect("failed to build the control runtime");
         runtime.block_on(async {
-            let peers = TcpListener::from_std(peers).expect("a socket on this runtime");
+            let peers = TcpListener::from_std(peers).expect("failed to register the peer socket");
             tokio::select! {
                 () = control::run_control(traffic, peers) => {}
                 () = stop.wait() => {}
@@ -165,7 +168,7 @@
     thread::Builder::new()
         .name(name)
         .spawn(run)
-        .expect("a thread for control")
+        .expect("failed to start the control thread")
 }
 
 async fn open(
@@ -174,19 +177,19 @@
     address: SocketAddr,
 ) -> Result<(TcpListener, SocketAddr), SettingsFault> {
     let opened = web::listen(address).await;
-    opened.map_err(|error| listen_fault(file, key, address, &error))
+    opened.map_err(|error| listen_error(file, key, address, &error))
 }
 
-fn for_thread(
+fn into_std_listener(
     file: &str,
     key: &str,
     (listener, address): (TcpListener, SocketAddr),
 ) -> Result<std::net::TcpListener, SettingsFault> {
     let listener = listener.into_std();
-    listener.map_err(|error| listen_fault(file, key, address, &error))
+    listener.map_err(|error| listen_error(file, key, address, &error))
 }
 
-fn listen_fault(file: &str, key: &str, address: SocketAddr, error: &io::Error) -> SettingsFault {
+fn listen_error(file: &str, key: &str, address: SocketAddr, error: &io::Error) -> SettingsFault {
     SettingsFault {
         file: file.to_owned(),
         section: "listen".to_owned(),
@@ -196,13 +199,13 @@
 }
 
 impl RunningHost {
-    /// Stops as planned: nothing in flight is cut off, however long it takes.
+    /// Shuts down gracefully: waits until every request in flight has ended, without a time limit.
     pub async fn drain(&self) {
         let gate = &self.traffic.gate;
         gate.begin_stop();
         let in_flight = gate.in_flight();
         event::emit(&event::HOST_STOPPING, &[("in_flight", &in_flight)]);
-        // The balancer still sends for a while; what it sends is served.
+        // The load balancer keeps sending requests for a while; they are still served.
         tokio::time::sleep(self.traffic.settings.balancer_lag).await;
         gate.close();
         gate.emptied().await;
@@ -213,24 +216,26 @@
 }
 
 impl RunningHost {
-    /// Waits until the servers have written out what they were sending; to be called after a drain
-    /// that a signal to the process began.
+    /// Waits until the servers have written all pending responses; to be called after a drain that a
+    /// process signal started.
     pub async fn close_connections(&self) {
-        drop(self.passing.lock().expect("passing").take());
+        drop(self.relay_thread.lock().expect("relay thread").take());
         let mut servers = std::mem::take(&mut *self.servers.lock().expect("servers"));
         while servers.join_next().await.is_some() {}
     }
 
-    // Cancels that no engine acknowledges in this time are left to the sweep of the other hosts.
+    // Cancels that are not acknowledged within the timeout are left to the sweep of the other hosts.
     async fn finish_cancels(&self) {
         let done = async {
             while self.traffic.parts.canceller.open() > 0 {
-                tokio::time::sleep(CANCEL_POLL).await;
+                tokio::time::sleep(CANCEL_POLL_PERIOD).await;
             }
         };
-        if tokio::time::timeout(CANCEL_PATIENCE, done).await.is_err() {
+        if tokio::time::timeout(CANCEL_TIMEOUT, done).await.is_err() {
             let open = self.traffic.parts.canceller.open();
-            log::warn!("{open} cancels are left to the other hosts");
+            log::warn!(
+                "{open} cancels were not acknowledged in time and are left to the other hosts"
+            );
         }
     }
 }
@@ -249,7 +254,7 @@
     }
 }
 
-/// Done when the process is told to stop.
+/// Completes when the process receives SIGTERM, SIGINT or SIGHUP.
 pub async fn stop_signal() {
     use tokio::signal::unix::{SignalKind, signal};
     let mut waits = JoinSet::new();
--- a/src/host/gate.rs
+++ b/src/host/gate.rs
@@ -1,4 +1,4 @@
-//! Counts what is in flight and closes for a planned stop.
+//! Counts requests in flight and stops admitting them during a graceful shutdown.
 
 use {
     crate::operation::{Refusal, RefusalCode},
@@ -12,39 +12,39 @@
     tokio::sync::Notify,
 };
 
-/// Lets requests in and waits for the last to leave.
+/// Admits requests up to a limit, and waits for the last to end during shutdown.
 #[derive(Debug)]
 pub struct StopGate {
-    most: u64,
+    max_in_flight: u64,
     in_flight: AtomicU64,
     stopping: AtomicBool,
     closed: AtomicBool,
-    left: Notify,
+    idle: Notify,
 }
 
 impl StopGate {
-    /// An open gate for at most `most` requests at once.
-    pub fn new(most: u64) -> Arc<Self> {
+    /// Creates an open gate for at most `max_in_flight` requests at once.
+    pub fn new(max_in_flight: u64) -> Arc<Self> {
         Arc::new(Self {
-            most,
+            max_in_flight,
             in_flight: AtomicU64::new(0),
             stopping: AtomicBool::new(false),
             closed: AtomicBool::new(false),
-            left: Notify::new(),
+            idle: Notify::new(),
         })
     }
 
-    /// Lets a request in, unless the gate is closed or too many are in.
+    /// Admits a request, unless the gate is closed or the limit is reached.
     pub fn enter(self: &Arc<Self>) -> Result<GateEntry, Refusal> {
         let before = self.in_flight.fetch_add(1, Ordering::SeqCst);
         let entry = GateEntry { gate: self.clone() };
-        // Counted before the look, so that whoever waits for zero misses nobody who was let in.
+        // Incremented before the check, so that `emptied` cannot miss an admitted request.
         if self.closed.load(Ordering::SeqCst) {
             let text = "this host takes no new work: it is being stopped";
             let refusal = Refusal::not_run(RefusalCode::Stopping, text);
             return Err(refusal.after(Duration::from_secs(1)));
         }
-        if before >= self.most {
+        if before >= self.max_in_flight {
             let text = format!("this host has {before} requests in progress");
             let refusal = Refusal::not_run(RefusalCode::Overloaded, text);
             return Err(refusal.after(Duration::from_secs(1)));
@@ -52,41 +52,41 @@
         Ok(entry)
     }
 
-    /// A planned stop begins: checks of readiness fail, requests are still let in.
+    /// Starts a graceful shutdown: readiness checks fail, but requests are still admitted.
     pub fn begin_stop(&self) {
         self.stopping.store(true, Ordering::SeqCst);
     }
 
-    /// Lets nobody in any more.
+    /// Refuses all further requests.
     pub fn close(&self) {
         self.closed.store(true, Ordering::SeqCst);
     }
 
-    /// Whether a planned stop has begun.
+    /// Whether a graceful shutdown has started.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::SeqCst)
     }
 
-    /// Requests that are in.
+    /// Number of requests in flight.
     pub fn in_flight(&self) -> u64 {
         self.in_flight.load(Ordering::SeqCst)
     }
 
-    /// Done when nobody is in.
+    /// Completes when no request is in flight.
     pub async fn emptied(&self) {
         loop {
-            let left = self.left.notified();
-            tokio::pin!(left);
-            left.as_mut().enable();
+            let idle = self.idle.notified();
+            tokio::pin!(idle);
+            idle.as_mut().enable();
             if self.in_flight() == 0 {
                 return;
             }
-            left.await;
+            idle.await;
         }
     }
 }
 
-/// One request that was let in; it leaves when dropped.
+/// One admitted request; released when dropped.
 #[derive(Debug)]
 pub struct GateEntry {
     gate: Arc<StopGate>,
@@ -96,7 +96,7 @@
     fn drop(&mut self) {
         let before = self.gate.in_flight.fetch_sub(1, Ordering::SeqCst);
         if before == 1 {
-            self.gate.left.notify_waiters();
+            self.gate.idle.notify_waiters();
         }
     }
 }
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -1,4 +1,4 @@
-//! An entry host: its parts put together, started and stopped.
+//! Assembles, starts and stops an entry host.
 
 mod entry;
 mod gate;
--- a/src/host/operators.rs
+++ b/src/host/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' port: checks for the balancer, metrics, status, explanations.
+//! The operators' port: health checks for the load balancer, metrics, status and decision records.
 
 use {
     super::traffic::Traffic,
@@ -10,7 +10,7 @@
     volo_http::{request::Request, response::Response},
 };
 
-/// Answers one request of an operator or of the balancer's check.
+/// Handles one request from an operator or from the load balancer's health check.
 pub async fn answer(traffic: Arc<Traffic>, request: Request) -> Response {
     let path = request.uri().path().to_owned();
     if request.method() != Method::GET {
@@ -31,14 +31,14 @@
     }
 }
 
-/// What ends a page of metrics.
-const PAGE_END: &str = "# EOF\n";
+/// Terminator of an OpenMetrics page.
+const PAGE_TERMINATOR: &str = "# EOF\n";
 
-// Both pages as one: only the last one's end stays.
+// Joins the host's page with the relay's and keeps only the terminator of the last.
 fn metrics_page(traffic: &Traffic) -> String {
     let page = traffic.metrics.page();
     let relay = traffic.relay_page.load();
-    match page.strip_suffix(PAGE_END) {
+    match page.strip_suffix(PAGE_TERMINATOR) {
         Some(head) if !relay.is_empty() => format!("{head}{relay}"),
         _ => page,
     }
@@ -83,14 +83,14 @@
         .map(|(name, limit)| json!({"server": name, "perSecondOfAllHosts": limit}))
         .collect();
     let unavailable = servers.iter().filter_map(|server| {
-        let shown = match traffic.server_states.availability(server) {
+        let state = match traffic.server_states.availability(server) {
             ServerAvailability::Available => return None,
             ServerAvailability::BackingOff(left) => {
                 json!({"server": server.name, "state": "backing-off", "leftMs": left.as_millis() as u64})
             }
             ServerAvailability::Leaving => json!({"server": server.name, "state": "leaving"}),
         };
-        Some(shown)
+        Some(state)
     });
     let unavailable: Vec<_> = unavailable.collect();
     json!({
--- a/src/host/passing.rs
+++ b/src/host/passing.rs
@@ -1,7 +1,7 @@
-//! Requests that are passed through unaltered, served on a thread of their own.
+//! Serves relayed requests, which are passed through unaltered, on a thread of their own.
 //!
-//! What is in force comes from control, as for all other requests: this thread reads no store and asks no
-//! other host.
+//! The configuration comes from the control thread, as for all other requests: this thread does not
+//! read the store or contact other hosts.
 
 use {
     super::traffic::Traffic,
@@ -27,50 +27,50 @@
     tokio::{net::TcpListener, task::LocalSet},
 };
 
-/// How often the thread looks whether control has published something newer.
-const LOOK_PERIOD: Duration = Duration::from_millis(50);
+/// How often the thread checks for a newer snapshot from the control thread.
+const SNAPSHOT_POLL_PERIOD: Duration = Duration::from_millis(50);
 
-/// How often the metrics page is made anew; scrapes are seconds apart.
-const PAGE_PERIOD: Duration = Duration::from_secs(1);
+/// How often the metrics page is rebuilt; scrapes are seconds apart.
+const METRICS_PAGE_PERIOD: Duration = Duration::from_secs(1);
 
-/// Longest wait for a connection to a server, which is at most some milliseconds away.
-const CONNECT_TIME: Duration = Duration::from_millis(500);
+/// Connect timeout for a server, whose round-trip time is a few milliseconds at most.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Longest time that bytes sent to a server or a caller may stay unacknowledged.
 const SILENCE_LIMIT: Duration = Duration::from_secs(5);
 
-/// Repeats in a window beyond the share of its requests, for all hosts together: a failure at a quiet time
-/// can be tried again too.
-const REPEATS_EXTRA: f64 = 10.0;
+/// Retries per window for all hosts together, in addition to the share of requests, so that a failure
+/// at a time of little traffic can be retried too.
+const EXTRA_RETRIES: f64 = 10.0;
 
-/// Window over which requests and repeats are counted.
-const REPEATS_WINDOW: Duration = Duration::from_secs(10);
+/// Window over which requests and retries are counted.
+const RETRY_WINDOW: Duration = Duration::from_secs(10);
 
-/// How long connections may take to write out their last bytes at a stop.
-const CLOSE_TIME: Duration = Duration::from_millis(150);
+/// Time for connections to write their remaining bytes at shutdown.
+const CLOSE_GRACE: Duration = Duration::from_millis(150);
 
-/// The thread that passes requests through.
+/// The thread that serves relayed requests.
 #[derive(Debug)]
-pub struct PassingThread {
+pub struct RelayThread {
     closing: Arc<OnceSignal>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl PassingThread {
-    /// Starts it on a listening socket.
+impl RelayThread {
+    /// Starts the thread on a listening socket.
     pub fn start(traffic: Arc<Traffic>, listener: std::net::TcpListener) -> eyre::Result<Self> {
         let closing = Arc::new(OnceSignal::default());
-        let until = closing.clone();
+        let stop = closing.clone();
         let name = format!("relay-{}", traffic.settings.name);
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
-            .wrap_err("a runtime for requests that are passed through")?;
-        let run = move || LocalSet::new().block_on(&runtime, serve(traffic, listener, until));
+            .wrap_err("failed to build the relay runtime")?;
+        let run = move || LocalSet::new().block_on(&runtime, serve(traffic, listener, stop));
         let thread = thread::Builder::new()
             .name(name)
             .spawn(run)
-            .wrap_err("a thread for requests that are passed through")?;
+            .wrap_err("failed to start the relay thread")?;
         Ok(Self {
             closing,
             thread: Some(thread),
@@ -78,19 +78,19 @@
     }
 }
 
-impl Drop for PassingThread {
+impl Drop for RelayThread {
     fn drop(&mut self) {
         self.closing.set();
         if let Some(thread) = self.thread.take()
             && thread.join().is_err()
         {
-            log::error!("the thread of requests that are passed through panicked");
+            log::error!("the relay thread panicked");
         }
     }
 }
 
 async fn serve(traffic: Arc<Traffic>, listener: std::net::TcpListener, closing: Arc<OnceSignal>) {
-    let listener = TcpListener::from_std(listener).expect("a socket on this runtime");
+    let listener = TcpListener::from_std(listener).expect("failed to register the relay socket");
     let settings = relay_settings(&traffic);
     let parts = RelayParts::new(
         settings,
@@ -99,8 +99,11 @@
         traffic.clock.clone(),
         Rc::default(),
     );
-    relay::spawn_critical("objects in force", follow(traffic.clone(), parts.clone()));
-    relay::spawn_critical("metrics", show_metrics(traffic.clone(), parts.clone()));
+    relay::spawn_critical(
+        "configuration updates",
+        apply_snapshots(traffic.clone(), parts.clone()),
+    );
+    relay::spawn_critical("metrics", publish_metrics(traffic.clone(), parts.clone()));
     let handler: web::IngressHandler =
         Rc::new(move |request| relay::handle_request(parts.clone(), request).boxed_local());
     let limits = Rc::new(IngressLimits {
@@ -108,10 +111,11 @@
         silence_limit: SILENCE_LIMIT,
     });
     web::serve_callers(listener, handler, limits, closing).await;
-    tokio::time::sleep(CLOSE_TIME).await;
+    tokio::time::sleep(CLOSE_GRACE).await;
 }
 
-// Addresses for checks, peers and the store are control's; nothing is opened at them here.
+// The addresses for health checks, peers and the store belong to the control thread; the relay does
+// not open them.
 fn relay_settings(traffic: &Traffic) -> RelaySettings {
     let settings = &traffic.settings;
     RelaySettings {
@@ -120,7 +124,7 @@
         callers: settings.callers,
         checks: settings.operators,
         ready_path: FastStr::from_static_str("/readyz"),
-        // On the operators' port.
+        // Served on the operators' port.
         metrics: None,
         peers: settings.peers,
         seeds: Vec::new(),
@@ -129,7 +133,7 @@
         store: settings.platform,
         requests_limit: settings.concurrent,
         pool: PoolSettings {
-            connect_time: CONNECT_TIME,
+            connect_time: CONNECT_TIMEOUT,
             silence_limit: SILENCE_LIMIT,
         },
         bounds: RelayBounds {
@@ -140,12 +144,12 @@
             limits: LimitTolerance::NONE,
             retries: RetryAllowance {
                 share: settings.retry_share,
-                extra: REPEATS_EXTRA,
-                window: REPEATS_WINDOW,
+                extra: EXTRA_RETRIES,
+                window: RETRY_WINDOW,
             },
-            // Changes come from the control thread.
+            // Configuration changes come from the control thread.
             change_time: Duration::MAX,
-            // The platform itself takes lapsed servers off its list.
+            // The platform itself removes servers with an expired lease from its list.
             heartbeat: Duration::MAX,
             lease_time: Duration::ZERO,
             stop_grace: Duration::MAX,
@@ -154,25 +158,30 @@
     }
 }
 
-// Takes each snapshot that control publishes.
-async fn follow(traffic: Arc<Traffic>, parts: Rc<RelayParts>) {
-    let mut taken: Option<Arc<ControlSnapshot>> = None;
+// Applies each snapshot that the control thread publishes.
+async fn apply_snapshots(traffic: Arc<Traffic>, parts: Rc<RelayParts>) {
+    let mut applied: Option<Arc<ControlSnapshot>> = None;
     let mut revision = 0;
     loop {
         let snapshot = traffic.snapshot.load_full();
-        let is_new = taken
+        let is_new = applied
             .as_ref()
-            .is_none_or(|taken| !Arc::ptr_eq(taken, &snapshot));
+            .is_none_or(|applied| !Arc::ptr_eq(applied, &snapshot));
         if is_new && snapshot.generation > 0 {
             revision += 1;
-            take(&traffic, &parts, &snapshot, revision);
-            taken = Some(snapshot);
+            apply_snapshot(&traffic, &parts, &snapshot, revision);
+            applied = Some(snapshot);
         }
-        tokio::time::sleep(LOOK_PERIOD).await;
+        tokio::time::sleep(SNAPSHOT_POLL_PERIOD).await;
     }
 }
 
-fn take(traffic: &Traffic, parts: &RelayParts, snapshot: &ControlSnapshot, revision: u64) {
+fn apply_snapshot(
+    traffic: &Traffic,
+    parts: &RelayParts,
+    snapshot: &ControlSnapshot,
+    revision: u64,
+) {
     let objects = &snapshot.objects;
     let body_limit = traffic.settings.body_limit as usize;
     let config = relay::relay_config(objects, snapshot.generation, body_limit);
@@ -194,7 +203,7 @@
     parts.publish_backends();
 }
 
-// Hosts are only counted here, for their shares of the repeats.
+// The relay only counts hosts, to compute each one's share of the retries.
 fn host_entry(name: &FastStr, zone: &FastStr, address: SocketAddr) -> HostEntry {
     HostEntry {
         judged: Vec::new(),
@@ -205,9 +214,9 @@
     }
 }
 
-async fn show_metrics(traffic: Arc<Traffic>, parts: Rc<RelayParts>) {
+async fn publish_metrics(traffic: Arc<Traffic>, parts: Rc<RelayParts>) {
     loop {
         traffic.relay_page.store(Arc::new(parts.metrics_page()));
-        tokio::time::sleep(PAGE_PERIOD).await;
+        tokio::time::sleep(METRICS_PAGE_PERIOD).await;
     }
 }
--- a/src/host/traffic.rs
+++ b/src/host/traffic.rs
@@ -1,4 +1,4 @@
-//! What the traffic threads of an entry host share.
+//! State shared by the traffic threads of an entry host.
 
 use {
     super::gate::StopGate,
@@ -30,44 +30,44 @@
     tokio::time::Instant,
 };
 
-/// Longest wait for a connection to a backend server or another host.
+/// Connect timeout for a backend server or another host.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What the traffic threads of an entry host share.
+/// State shared by the traffic threads of an entry host.
 pub struct Traffic {
     /// The host's settings.
     pub settings: HostSettings,
-    /// The name of this run of the host; no other run has it.
+    /// The unique name of this run of the host.
     pub incarnation: FastStr,
-    /// The same as a number.
+    /// The incarnation as a number.
     pub incarnation_number: u64,
-    /// Where callers reach this host.
+    /// The address at which callers reach this host.
     pub callers: SocketAddr,
-    /// What control published last.
+    /// The latest snapshot published by the control thread.
     pub snapshot: ArcSwap<ControlSnapshot>,
-    /// What requests share.
+    /// State shared by model requests.
     pub parts: Arc<RunnerParts>,
-    /// Where engines are chosen.
+    /// Engine state and scheduling.
     pub desk: Arc<SharedDesk>,
-    /// Servers of plain services.
+    /// Backend servers of plain services.
     pub servers: Arc<ServerBook>,
-    /// Which of them name how much they take.
+    /// Rate limits and availability reported by these servers.
     pub server_states: ServerStates,
     /// Operations by key.
     pub operations: Mutex<OperationTable>,
-    /// Tickets of this incarnation.
+    /// Issues and checks the tickets of this incarnation.
     pub tickets: TicketBook,
-    /// What tenants use.
+    /// Usage of each tenant against its limits.
     pub limits: Arc<TenantLedger>,
-    /// Counts what is in flight.
+    /// Counts the requests in flight.
     pub gate: Arc<StopGate>,
-    /// Calls outward.
+    /// Client for calls to backend servers and other hosts.
     pub client: WebClient,
     /// Metrics.
     pub metrics: Arc<HostMetrics>,
-    /// Metrics of requests that are passed through, as a page; empty where there are none.
+    /// Metrics page of the relay; empty if the relay is disabled.
     pub relay_page: ArcSwap<String>,
-    /// The clock of ages that promises rest on.
+    /// Clock for leases and other ages that must include time in suspension.
     pub clock: HostClock,
     started: Instant,
     next_request: AtomicU64,
@@ -80,7 +80,7 @@
 }
 
 impl Traffic {
-    /// The shared parts of a new incarnation.
+    /// Creates the shared state of a new incarnation.
     pub fn new(settings: HostSettings, callers: SocketAddr) -> Arc<Self> {
         let number: u64 = rand::random();
         let clock = HostClock::system();
@@ -91,9 +91,10 @@
             rand::random(),
             clock.clone(),
         );
-        let links = desk.clone();
-        let canceller =
-            Canceller::new(Box::new(move |engine| links.read(|desk| desk.link(engine))));
+        let link_source = desk.clone();
+        let canceller = Canceller::new(Box::new(move |engine| {
+            link_source.read(|desk| desk.link(engine))
+        }));
         let parts = Arc::new(RunnerParts {
             desk: desk.clone(),
             namer: AttemptNamer::new(incarnation.clone()),
@@ -125,31 +126,32 @@
         })
     }
 
-    /// Time since this incarnation started, less what it was suspended: others were not silent while this host could not
-    /// hear them, and what a host that is taken for lost left at engines is cancelled.
+    /// Time since this incarnation started, excluding time during which it was suspended. Other hosts
+    /// were not silent while this host could not receive from them, and the others cancel what a host
+    /// that they consider lost has left at engines.
     pub fn uptime(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// An id that no other request of any host has.
+    /// Returns a request id that is unique across all hosts.
     pub fn next_request_id(&self) -> FastStr {
         let count = self.next_request.fetch_add(1, Ordering::Relaxed);
         FastStr::from_string(format!("{}-{count}", self.incarnation))
     }
 
-    /// The live host of this zone where duplicates of a key that a caller made up meet; none when
-    /// it is this host.
+    /// The live host of this zone that handles all requests with a key chosen by a caller, by
+    /// rendezvous hashing; `None` if it is this host.
     pub fn home_of(&self, tenant: &str, key: &str) -> Option<SocketAddr> {
         let snapshot = self.snapshot.load();
         let subject = format!("{tenant}\n{key}");
-        let own = peer::draw(&self.settings.name, &subject);
+        let own_score = peer::draw(&self.settings.name, &subject);
         snapshot
             .peers
             .iter()
             .filter(|peer| peer.is_live && peer.zone == self.settings.zone)
             .map(|peer| (peer::draw(&peer.name, &subject), peer.callers))
             .max_by_key(|(score, _)| *score)
-            .filter(|(score, _)| *score > own)
+            .filter(|(score, _)| *score > own_score)
             .map(|(_, callers)| callers)
     }
 }
