--- a/src/host/entry.rs
+++ b/src/host/entry.rs
@@ -107,8 +107,8 @@
             Arc::new(move |request| filter::answer(served.clone(), request).boxed());
         let stopped = Arc::new(OnceSignal::default());
         let drained = stopped.clone();
-        // Volo's own graceful shutdown gives up after 30 seconds; this hook delays it until the drain
-        // has ended.
+        // Volo's own graceful shutdown gives up after 30 seconds; this hook delays it until the
+        // drain has ended.
         let hook: web::StopHook = Box::new(move || async move { drained.wait().await }.boxed());
         let mut servers = JoinSet::new();
         servers.spawn(web::serve(self.callers, handler, Some(hook)));
@@ -216,15 +216,15 @@
 }
 
 impl RunningHost {
-    /// Waits until the servers have written all pending responses; to be called after a drain that a
-    /// process signal started.
+    /// Waits until the servers have written all pending responses; to be called after a drain that
+    /// a process signal started.
     pub async fn close_connections(&self) {
         drop(self.relay_thread.lock().expect("relay thread").take());
         let mut servers = std::mem::take(&mut *self.servers.lock().expect("servers"));
         while servers.join_next().await.is_some() {}
     }
 
-    // Cancels that are not acknowledged within the timeout are left to the sweep of the other hosts.
+    // Cancels that are not acknowledged in time are left to the sweep of the other hosts.
     async fn finish_cancels(&self) {
         let done = async {
             while self.traffic.parts.canceller.open() > 0 {
--- a/src/host/passing.rs
+++ b/src/host/passing.rs
@@ -39,8 +39,8 @@
 /// Longest time that bytes sent to a server or a caller may stay unacknowledged.
 const SILENCE_LIMIT: Duration = Duration::from_secs(5);
 
-/// Retries per window for all hosts together, in addition to the share of requests, so that a failure
-/// at a time of little traffic can be retried too.
+/// Retries per window for all hosts together, in addition to the share of requests, so that a
+/// failure at a time of little traffic can be retried too.
 const EXTRA_RETRIES: f64 = 10.0;
 
 /// Window over which requests and retries are counted.
--- a/src/host/traffic.rs
+++ b/src/host/traffic.rs
@@ -126,9 +126,9 @@
         })
     }
 
-    /// Time since this incarnation started, excluding time during which it was suspended. Other hosts
-    /// were not silent while this host could not receive from them, and the others cancel what a host
-    /// that they consider lost has left at engines.
+    /// Time since this incarnation started, excluding time in suspension: other hosts were not silent
+    /// while this host could not receive from them, and what a host that is considered lost left
+    /// at engines is cancelled by the others.
     pub fn uptime(&self) -> Duration {
         self.started.elapsed()
     }
