--- a/src/account/ledger.rs
+++ b/src/account/ledger.rs
@@ -1,17 +1,18 @@
-//! What each account uses, as the host knows it that keeps the books of its availability zone.
+//! Usage of each account in an availability zone, as tracked by the host that keeps the zone's ledger.
 //!
-//! The account that is near its limit is asked for here before each of its requests, by all hosts of the zone; others
-//! are let in freely and told with the next report. The zones tell each other their sums several times a second. A
-//! zone that is not heard of is taken to use its share of the limit, by what was asked for there before, so both
-//! sides of a cut together stay within the limit.
+//! For an account near its limit, every host of the zone asks the ledger before it admits a request. Requests
+//! of other accounts are admitted without asking and reported periodically. Ledgers of different zones
+//! exchange their totals several times a second. A zone that cannot be reached is assumed to use its share of
+//! the limit, based on its earlier demand, so that both sides of a network partition together stay within the
+//! limit.
 
 use {
     super::{
-        account_book::{self, AccountBook, ReservedRate, UnheardZone},
+        account_usage::{self, AccountUsage, ReservedRate, UnreachableZone},
         bucket::{BucketRate, RateBucket},
         client_account::{AccountKey, AccountLimit},
         directory::AccountDirectory,
-        seen_ledger::SeenLedger,
+        peer_ledger::PeerLedger,
         tolerance::LimitTolerance,
         use_report::{AccountUse, NearAccount},
     },
@@ -23,80 +24,84 @@
     xxhash_rust::xxh3,
 };
 
-/// How long a zone may go unheard until its share of each limit is left to it: three of its reports.
-pub(super) const CUT_AFTER: Duration = Duration::from_millis(1_000);
+/// Time without an update after which a zone counts as unreachable and its share of each limit is reserved
+/// for it: three report intervals.
+pub(super) const UNREACHABLE_AFTER: Duration = Duration::from_millis(1_000);
 
-/// How many times its present demand an account is taken to ask for all at once, before its hosts hear of it.
-const SURGE: f64 = 8.0;
+/// Factor by which an account's demand may jump before the hosts of the zone learn that it is near its limit.
+const SURGE_FACTOR: f64 = 8.0;
 
-/// Time until all hosts of a zone know that an account is near its limit, seconds: two reports and the sums of the
-/// other zones.
-const LAG_SECONDS: f64 = 1.5;
+/// Time until all hosts of a zone know that an account is near its limit, in seconds: two reports plus the
+/// totals of the other zones.
+const PROPAGATION_SECONDS: f64 = 1.5;
 
-/// How often the accounts that are near their limits are worked out.
-const NEAR_PERIOD: Duration = Duration::from_millis(100);
+/// Interval at which the list of accounts near their limits is recomputed.
+const NEAR_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time after which a ledger has heard of all hosts of its zone and of the other zones.
-const SETTLE_TIME: Duration = Duration::from_millis(1_500);
+/// Time after which a new ledger has received data from all hosts of its zone and from the other zones.
+const WARM_UP_TIME: Duration = Duration::from_millis(1_500);
 
-/// Part of what may go beyond a limit that callers get; the rest covers what hosts do not know of each other.
-const GRANTED_PART: f64 = 0.1;
+/// Fraction of the tolerated overshoot that is granted to callers. The rest covers usage that hosts do not
+/// know of yet.
+const GRANTED_FRACTION: f64 = 0.1;
 
-/// Part of what may go beyond a limit that is left to requests which are let in without asking.
-const FREE_PART: f64 = 0.6;
+/// Fraction of the tolerated overshoot that is left for requests admitted without asking.
+const UNCHECKED_FRACTION: f64 = 0.6;
 
-/// Part of the burst that is taken as used when a ledger begins: what was used before it is not known.
-const BEGIN_LEVEL: f64 = 0.9;
+/// Fraction of the burst that a new ledger assumes to be used, as it does not know the earlier usage.
+const INITIAL_FILL: f64 = 0.9;
 
-/// Seconds of the rate that a bucket may be over its burst: what went beyond is repaid later, but no longer than that.
-pub(super) const DEBT_SECONDS: f64 = 2.0;
+/// Seconds of the rate by which a bucket may exceed its burst. The excess delays later requests, but by no
+/// more than this.
+pub(super) const MAX_DEBT_SECONDS: f64 = 2.0;
 
-/// Seconds of an account's rate that a zone asks for until it tells the others, if the account is far under its limit.
-const TELL_SECONDS: f64 = 0.25;
+/// Demand since the last broadcast, in seconds of the account's rate, from which a ledger broadcasts an
+/// account that is far below its limit.
+const BROADCAST_SECONDS: f64 = 0.25;
 
-/// How long a ledger is one that hosts go by, after one of them asked it: as long as they keep to what it told.
-const KEPT_TIME: Duration = Duration::from_millis(2_000);
+/// How long a ledger counts as in use after a request from a host: hosts act on its answers for that long.
+const IN_USE_TIME: Duration = Duration::from_millis(2_000);
 
-/// How long an account that is not used is told of, and a ledger that is not heard of remembered.
-pub(super) const BOOK_LIFE: Duration = Duration::from_secs(30);
+/// How long an idle account stays in broadcasts, and how long a silent ledger is remembered.
+pub(super) const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The books of an availability zone.
+/// Tracks the usage of all accounts in an availability zone.
 #[derive(Debug)]
 pub struct ZoneLedger {
     pub(super) id: u64,
     pub(super) zone: FastStr,
-    pub(super) began: Duration,
+    pub(super) started: Duration,
     tolerance: LimitTolerance,
-    pub(super) books: BTreeMap<AccountKey, AccountBook>,
-    // The other zones that have hosts, and when each was last heard of.
+    pub(super) usages: BTreeMap<AccountKey, AccountUsage>,
+    // Other zones that have hosts, each with the time of its last update.
     pub(super) zones: BTreeMap<FastStr, Option<Duration>>,
-    // What other ledgers told, by their ids.
-    pub(super) seen: BTreeMap<u64, SeenLedger>,
-    // The accounts near their limits, as last worked out, and when that was.
+    // Totals received from other ledgers, by ledger id.
+    pub(super) peers: BTreeMap<u64, PeerLedger>,
+    // Accounts near their limits and the time at which the list was computed.
     near: Vec<NearAccount>,
-    near_at: Option<Duration>,
-    // When a host was last answered that asked or told of its uses.
-    kept: Option<Duration>,
+    near_computed: Option<Duration>,
+    // When the ledger last answered a host that asked it or reported usage.
+    last_answered: Option<Duration>,
 }
 
 impl ZoneLedger {
-    /// Books of an availability zone in which nothing stands; `id` is drawn at random.
+    /// Creates an empty ledger. `id` is random.
     pub fn new(id: u64, zone: FastStr, tolerance: LimitTolerance, now: Duration) -> Self {
         Self {
             id,
             zone,
-            began: now,
+            started: now,
             tolerance,
-            books: BTreeMap::new(),
+            usages: BTreeMap::new(),
             zones: BTreeMap::new(),
-            seen: BTreeMap::new(),
+            peers: BTreeMap::new(),
             near: Vec::new(),
-            near_at: None,
-            kept: None,
+            near_computed: None,
+            last_answered: None,
         }
     }
 
-    /// Takes the other zones that have hosts.
+    /// Sets the other zones that have hosts.
     pub fn set_zones(&mut self, zones: &BTreeSet<FastStr>) {
         self.zones.retain(|zone, _| zones.contains(zone));
         for zone in zones {
@@ -104,7 +109,7 @@
         }
     }
 
-    /// Lets a request of so many units in, or tells when its caller is to come back.
+    /// Admits a request of `units`, or returns how long its caller should wait.
     pub fn charge(
         &mut self,
         account: AccountKey,
@@ -113,193 +118,201 @@
         now: Duration,
     ) -> Result<(), Duration> {
         let reserved = self.reserve(account, limit, now);
-        let room = self.room(limit, now);
+        let capacity = self.capacity(limit, now);
         let rate = self.own_rate(limit, &reserved, now);
-        let book = self.book(account, limit, now);
-        book.note_asked(units, now);
+        let usage = self.usage_mut(account, limit, now);
+        usage.record_demand(units, now);
         let own = reserved.own_share();
         let bounds = BucketRate {
             rate,
-            burst: room * own,
+            burst: capacity * own,
         };
-        book.settle(&reserved, now);
-        let taken = book.bucket.take(units, bounds, now);
+        usage.charge_unreachable(&reserved, now);
+        let taken = usage.bucket.take(units, bounds, now);
         if taken.is_ok() {
-            book.taken = book.taken.wrapping_add(account_book::whole(units));
+            usage.taken = usage.taken.wrapping_add(account_usage::to_units(units));
         }
         taken
     }
 
-    /// Takes what a host let in by itself, or was given back to it.
-    pub fn note(&mut self, used: AccountUse, limit: AccountLimit, now: Duration) {
+    /// Records usage that a host admitted without asking, or that was refunded to it.
+    pub fn record_use(&mut self, used: AccountUse, limit: AccountLimit, now: Duration) {
         let reserved = self.reserve(used.account, limit, now);
         let rate = self.own_rate(limit, &reserved, now);
-        let book = self.book(used.account, limit, now);
-        book.note_asked(f64::from(used.asked), now);
-        book.settle(&reserved, now);
-        book.bucket.drain(rate, now);
-        // Given back where that is more: a difference modulo 2^32.
-        book.bucket.add(f64::from(used.taken as i32));
-        book.bucket.cap(limit.burst + DEBT_SECONDS * limit.rate);
-        book.taken = book.taken.wrapping_add(used.taken);
+        let usage = self.usage_mut(used.account, limit, now);
+        usage.record_demand(f64::from(used.asked), now);
+        usage.charge_unreachable(&reserved, now);
+        usage.bucket.drain(rate, now);
+        // The difference is modulo 2^32 and negative if more was refunded than used.
+        usage.bucket.add(f64::from(used.taken as i32));
+        usage
+            .bucket
+            .cap(limit.burst + MAX_DEBT_SECONDS * limit.rate);
+        usage.taken = usage.taken.wrapping_add(used.taken);
     }
 
-    /// A host was answered that asks this ledger, or tells it of its uses.
+    /// Records that the ledger answered a host that asked it or reported usage.
     ///
-    /// A host that comes to keep the books long after its start begins them now: as of its start, what was used before would have
-    /// drained. Of three zones whose keepers were killed each let in a third of the burst once more, 222,600 units where 70,100
+    /// If a host becomes the keeper of the ledger long after its start, the ledger is reset to start now.
+    /// With the host's start as the reference, all earlier usage would count as drained. When the keepers of
+    /// three zones were killed, each new one admitted a third of the burst again: 222,600 units where 70,100
     /// were left (tests/account_limits.rs).
-    pub fn note_kept(&mut self, now: Duration) {
-        if !self.is_kept(now) && self.is_settled(now) {
-            self.begin(now);
+    pub fn mark_in_use(&mut self, now: Duration) {
+        if !self.is_in_use(now) && self.is_warmed_up(now) {
+            self.reset(now);
         }
-        self.kept = Some(now);
+        self.last_answered = Some(now);
     }
 
-    // Other ledgers take it for another one: its sums begin anew.
-    fn begin(&mut self, now: Duration) {
-        let drawn = xxh3::xxh3_64_with_seed(&self.id.to_le_bytes(), now.as_nanos() as u64);
-        self.id = drawn.max(1);
-        self.began = now;
-        self.books.clear();
+    // The new id makes other ledgers treat it as a new ledger whose totals start at zero.
+    fn reset(&mut self, now: Duration) {
+        let hash = xxh3::xxh3_64_with_seed(&self.id.to_le_bytes(), now.as_nanos() as u64);
+        self.id = hash.max(1);
+        self.started = now;
+        self.usages.clear();
         self.near.clear();
-        self.near_at = None;
-        for heard in self.zones.values_mut() {
-            *heard = None;
+        self.near_computed = None;
+        for last_update in self.zones.values_mut() {
+            *last_update = None;
         }
     }
 
-    /// Whether hosts go by this ledger.
-    pub fn is_kept(&self, now: Duration) -> bool {
-        self.kept
-            .is_some_and(|at| now.saturating_sub(at) < KEPT_TIME)
+    /// Whether hosts currently use this ledger.
+    pub fn is_in_use(&self, now: Duration) -> bool {
+        self.last_answered
+            .is_some_and(|at| now.saturating_sub(at) < IN_USE_TIME)
     }
 
-    /// Whether it has heard enough to say which accounts are far under their limits. Until then hosts ask for all: with
-    /// 1.4 million units a second asked for after all hosts were killed, 0.3 s without asking went 0.11 beyond what is
-    /// tolerated (tests/account_limits.rs).
-    pub fn is_settled(&self, now: Duration) -> bool {
-        now.saturating_sub(self.began) >= SETTLE_TIME
+    /// Whether the ledger has enough data to tell which accounts are far below their limits. Until then hosts
+    /// ask for every request: with a demand of 1.4 million units a second after all hosts were killed, 0.3 s
+    /// without asking exceeded the tolerance by 0.11 (tests/account_limits.rs).
+    pub fn is_warmed_up(&self, now: Duration) -> bool {
+        now.saturating_sub(self.started) >= WARM_UP_TIME
     }
 
-    /// The accounts of which hosts are to ask before they let a request in; worked out anew each tenth of a second, since
-    /// all hosts of the zone are told it several times a second.
-    pub fn near(&mut self, accounts: &AccountDirectory, now: Duration) -> &[NearAccount] {
+    /// Accounts for which hosts must ask before they admit a request. The list is recomputed at most every
+    /// 0.1 s, since all hosts of the zone request it several times a second.
+    pub fn near_limit(&mut self, accounts: &AccountDirectory, now: Duration) -> &[NearAccount] {
         let is_due = self
-            .near_at
-            .is_none_or(|at| now.saturating_sub(at) >= NEAR_PERIOD);
+            .near_computed
+            .is_none_or(|at| now.saturating_sub(at) >= NEAR_INTERVAL);
         if is_due {
             self.near = self.near_now(accounts, now);
-            self.near_at = Some(now);
+            self.near_computed = Some(now);
         }
         &self.near
     }
 
     fn near_now(&self, accounts: &AccountDirectory, now: Duration) -> Vec<NearAccount> {
-        let books = self.books.iter();
-        let near = books.filter_map(|(account, book)| {
+        let usages = self.usages.iter();
+        let near = usages.filter_map(|(account, usage)| {
             let limit = accounts.account(*account)?.limit?;
-            let is_cut = !self.hears_all(now);
-            let demand = book.total_demand(now);
-            let is_near = is_cut || self.may_surge(book, limit, demand);
+            let is_partitioned = !self.reaches_all(now);
+            let demand = usage.total_demand(now);
+            let is_near = is_partitioned || self.may_exceed(usage, limit, demand);
             is_near.then(|| NearAccount {
                 account: *account,
-                share: fitting_share(limit, demand),
+                share: admissible_share(limit, demand),
             })
         });
         near.collect()
     }
 
-    // Units beyond the burst that are let in on purpose.
-    fn granted_beyond(&self, limit: AccountLimit) -> f64 {
-        GRANTED_PART * self.tolerance.beyond(limit)
+    // Units above the burst that are admitted on purpose.
+    fn granted_overshoot(&self, limit: AccountLimit) -> f64 {
+        GRANTED_FRACTION * self.tolerance.beyond(limit)
     }
 
-    // This ledger's part of what is left of a limit and of its rate. While it has just begun, the ledgers of zones that have not
-    // told it anything may have begun at the same time: they share both. Three that had not heard of each other let in 190,800
-    // units of one account in 0.6 s, where its limit leaves 97,810 (tests/account_limits.rs).
-    fn begin_part(&self, now: Duration) -> f64 {
-        if self.is_settled(now) {
+    // This ledger's share of the remaining limit and of its rate. During warm-up, the ledgers of zones that
+    // have sent no update may be just as new, so all of them share both. Three ledgers that had not heard
+    // from each other admitted 190,800 units of one account in 0.6 s, where its limit left 97,810
+    // (tests/account_limits.rs).
+    fn warm_up_share(&self, now: Duration) -> f64 {
+        if self.is_warmed_up(now) {
             return 1.0;
         }
-        let unheard = self.zones.values().filter(|heard| heard.is_none());
-        1.0 / (1 + unheard.count()) as f64
+        let silent = self
+            .zones
+            .values()
+            .filter(|last_update| last_update.is_none());
+        1.0 / (1 + silent.count()) as f64
     }
 
-    // How full a bucket may be.
-    fn room(&self, limit: AccountLimit, now: Duration) -> f64 {
-        let whole = limit.burst.max(1.0) + self.granted_beyond(limit);
-        let begun = limit.burst * BEGIN_LEVEL;
-        begun + (whole - begun) * self.begin_part(now)
+    // Capacity of an account's bucket.
+    fn capacity(&self, limit: AccountLimit, now: Duration) -> f64 {
+        let full = limit.burst.max(1.0) + self.granted_overshoot(limit);
+        let initial = limit.burst * INITIAL_FILL;
+        initial + (full - initial) * self.warm_up_share(now)
     }
 
-    // Units a second that drain for this side of a cut, or for this one of several ledgers that have just begun.
+    // Drain rate of this side of a partition, or of this one of several new ledgers, in units per second.
     pub(super) fn own_rate(
         &self,
         limit: AccountLimit,
         reserved: &ReservedRate,
         now: Duration,
     ) -> f64 {
-        limit.rate * reserved.own_share() * self.begin_part(now)
+        limit.rate * reserved.own_share() * self.warm_up_share(now)
     }
 
-    // Whether the account could go beyond its limit by more than is tolerated before its hosts hear of it.
-    fn may_surge(&self, book: &AccountBook, limit: AccountLimit, demand: f64) -> bool {
+    // Whether the account could exceed its limit by more than the tolerance before its hosts learn that it is
+    // near.
+    fn may_exceed(&self, usage: &AccountUsage, limit: AccountLimit, demand: f64) -> bool {
         let window = self.tolerance.window.as_secs_f64();
         let tolerated = self.tolerance.beyond(limit);
-        let unused = limit.burst - book.bucket.level() + (limit.rate - demand) * window;
-        let room = FREE_PART * (tolerated + unused);
-        demand * SURGE * LAG_SECONDS > room
+        let unused = limit.burst - usage.bucket.level() + (limit.rate - demand) * window;
+        let capacity = UNCHECKED_FRACTION * (tolerated + unused);
+        demand * SURGE_FACTOR * PROPAGATION_SECONDS > capacity
     }
 
-    fn hears_all(&self, now: Duration) -> bool {
+    fn reaches_all(&self, now: Duration) -> bool {
         let mut zones = self.zones.values();
-        zones.all(|heard| self.unheard_time(*heard, now).is_zero())
+        zones.all(|last_update| self.unreachable_time(*last_update, now).is_zero())
     }
 
-    // How long a zone has been taken to use its share unheard.
-    fn unheard_time(&self, heard: Option<Duration>, now: Duration) -> Duration {
-        let until = heard.unwrap_or(self.began) + CUT_AFTER;
+    // How long a zone has been unreachable, that is, assumed to use its share.
+    fn unreachable_time(&self, last_update: Option<Duration>, now: Duration) -> Duration {
+        let until = last_update.unwrap_or(self.started) + UNREACHABLE_AFTER;
         now.saturating_sub(until)
     }
 
-    // What is left to zones that are not heard of: their shares of the demand as all zones knew it when they last heard
-    // of each other, so that the shares of all sides of a cut together are the whole.
+    // Rate reserved for unreachable zones. Their shares follow from the demand that all zones knew when they
+    // were last in contact, so the shares of all sides of a partition add up to the whole limit.
     pub(super) fn reserve(
         &self,
         account: AccountKey,
         limit: AccountLimit,
         now: Duration,
     ) -> ReservedRate {
-        let times = self.zones.iter().map(|(zone, heard)| {
-            let time = self.unheard_time(*heard, now);
+        let times = self.zones.iter().map(|(zone, last_update)| {
+            let time = self.unreachable_time(*last_update, now);
             (zone, time)
         });
-        let unheard: Vec<(&FastStr, Duration)> =
+        let unreachable: Vec<(&FastStr, Duration)> =
             times.filter(|(_, time)| !time.is_zero()).collect();
-        if unheard.is_empty() {
+        if unreachable.is_empty() {
             return ReservedRate::default();
         }
-        let book = self.books.get(&account);
+        let usage = self.usages.get(&account);
         let demand_of = |zone: &FastStr| {
-            let book = book?;
-            let away = book.away.get(zone);
-            let demand = away.map_or(book.known_demand, |away| away.known_demand);
-            Some(demand + book.idle_demand())
+            let usage = usage?;
+            let remote = usage.remote.get(zone);
+            let demand = remote.map_or(usage.known_demand, |remote| remote.known_demand);
+            Some(demand + usage.idle_demand())
         };
-        // Nothing is known of an account without a book: all zones are alike.
+        // Without usage data for the account, all zones count as equal.
         let demand_of = |zone: &FastStr| demand_of(zone).unwrap_or(1.0);
-        let own = book.map_or(1.0, |book| book.known_demand + book.idle_demand());
-        let whole: f64 = own + self.zones.keys().map(demand_of).sum::<f64>();
-        let zones = unheard.into_iter().map(|(zone, time)| {
-            let rate = limit.rate * demand_of(zone) / whole;
-            UnheardZone {
+        let own = usage.map_or(1.0, |usage| usage.known_demand + usage.idle_demand());
+        let total: f64 = own + self.zones.keys().map(demand_of).sum::<f64>();
+        let zones = unreachable.into_iter().map(|(zone, time)| {
+            let rate = limit.rate * demand_of(zone) / total;
+            UnreachableZone {
                 name: zone.clone(),
                 rate,
                 time,
             }
         });
-        let zones: Vec<UnheardZone> = zones.collect();
+        let zones: Vec<UnreachableZone> = zones.collect();
         let rate: f64 = zones.iter().map(|zone| zone.rate).sum();
         ReservedRate {
             share: rate / limit.rate,
@@ -307,46 +320,46 @@
         }
     }
 
-    pub(super) fn book(
+    pub(super) fn usage_mut(
         &mut self,
         account: AccountKey,
         limit: AccountLimit,
         now: Duration,
-    ) -> &mut AccountBook {
-        let hears_all = self.hears_all(now);
-        let began = self.began;
-        let book = self.books.entry(account).or_insert_with(|| AccountBook {
-            // What was used before the ledger began has drained since.
-            bucket: RateBucket::filled(limit.burst * BEGIN_LEVEL, began),
-            settled: now,
-            ..AccountBook::default()
+    ) -> &mut AccountUsage {
+        let reaches_all = self.reaches_all(now);
+        let started = self.started;
+        let usage = self.usages.entry(account).or_insert_with(|| AccountUsage {
+            // Usage from before the ledger started has drained since.
+            bucket: RateBucket::with_level(limit.burst * INITIAL_FILL, started),
+            charged_until: now,
+            ..AccountUsage::default()
         });
-        book.tell_from = limit.rate * TELL_SECONDS;
-        if hears_all {
-            book.note_known(now);
+        usage.broadcast_threshold = limit.rate * BROADCAST_SECONDS;
+        if reaches_all {
+            usage.store_known_demand(now);
         }
-        book.used = now;
-        book
+        usage.last_used = now;
+        usage
     }
 
-    /// Forgets other ledgers that were not heard of for long, and accounts that are no longer configured.
-    pub fn forget_old(&mut self, accounts: &AccountDirectory, now: Duration) {
-        self.seen
-            .retain(|_, ledger| now.saturating_sub(ledger.told) < BOOK_LIFE);
-        self.books
+    /// Drops ledgers that have been silent for too long and accounts that are no longer configured.
+    pub fn evict_expired(&mut self, accounts: &AccountDirectory, now: Duration) {
+        self.peers
+            .retain(|_, ledger| now.saturating_sub(ledger.updated) < IDLE_TIMEOUT);
+        self.usages
             .retain(|account, _| accounts.account(*account).is_some());
     }
 
-    /// Units used of an account's limit and not yet drained, and units that are asked for each second; for metrics.
-    pub fn figures(&self, account: AccountKey, now: Duration) -> (f64, f64) {
-        let book = self.books.get(&account);
-        book.map_or((0.0, 0.0), |book| {
-            (book.bucket.level(), book.total_demand(now))
+    /// Units used and not yet drained, and demand in units per second, for metrics.
+    pub fn level_and_demand(&self, account: AccountKey, now: Duration) -> (f64, f64) {
+        let usage = self.usages.get(&account);
+        usage.map_or((0.0, 0.0), |usage| {
+            (usage.bucket.level(), usage.total_demand(now))
         })
     }
 }
 
-fn fitting_share(limit: AccountLimit, demand: f64) -> f64 {
+fn admissible_share(limit: AccountLimit, demand: f64) -> f64 {
     match demand > limit.rate {
         true => limit.rate / demand,
         false => 1.0,
--- a/src/filter/plain.rs
+++ b/src/filter/plain.rs
@@ -8,7 +8,7 @@
         object::{ServiceSpec, Typed},
         operation::{PlainOutcome, PlainReply, Refusal, RefusalCode, RunVerdict},
         relay::{RequestDigest, ServerAvailability},
-        route::{ServerChoice, ServerInfo},
+        route::{SelectedServer, ServerInfo},
         web::{self, WebFailure},
     },
     bytes::Bytes,
@@ -77,7 +77,7 @@
         let zone = &traffic.settings.zone;
         let chosen = traffic
             .servers
-            .choose(&route.servers, zone, &tried, in_rotation);
+            .select(&route.servers, zone, &tried, in_rotation);
         let Some(choice) = chosen else {
             let wait = permit_wait.or_else(|| backoff_wait(traffic, route));
             return Err(with_retry_after(last_refusal, wait));
@@ -152,7 +152,7 @@
     let servers = traffic.servers.servers();
     let picked = servers
         .iter()
-        .filter(|server| server.is_picked_by(&route.servers));
+        .filter(|server| server.matches_any(&route.servers));
     let waits = picked.filter_map(|server| match traffic.server_states.availability(server) {
         ServerAvailability::BackingOff(left) => Some(left),
         ServerAvailability::Available | ServerAvailability::Leaving => None,
@@ -186,7 +186,7 @@
 }
 
 // Once an attempt may have run, the verdict stays MayHaveRun whatever later attempts return.
-fn failure_refusal(choice: &ServerChoice, failure: &WebFailure, before: RunVerdict) -> Refusal {
+fn failure_refusal(choice: &SelectedServer, failure: &WebFailure, before: RunVerdict) -> Refusal {
     let verdict = match failure {
         WebFailure::Unreachable(_) => RunVerdict::NotRun,
         _ => RunVerdict::MayHaveRun,
@@ -197,7 +197,7 @@
 
 async fn send(
     traffic: &Traffic,
-    choice: &ServerChoice,
+    choice: &SelectedServer,
     call: &PlainCall,
 ) -> Result<PlainReply, WebFailure> {
     let sent = traffic.server_states.now();
--- a/src/host/passing.rs
+++ b/src/host/passing.rs
@@ -9,7 +9,7 @@
         account::{KeyRules, LimitTolerance},
         control::ControlSnapshot,
         operation::OnceSignal,
-        relay::{self, HostEntry, RelayBounds, RelayParts, RelaySettings, RetryAllowance},
+        relay::{self, HostEntry, RelayBounds, RelayParts, RelaySettings, RetryBudget},
         store::StorePosition,
         web::{self, IngressLimits, PoolSettings},
     },
@@ -142,7 +142,7 @@
                 apply_time: Duration::MAX,
             },
             limits: LimitTolerance::NONE,
-            retries: RetryAllowance {
+            retries: RetryBudget {
                 share: settings.retry_share,
                 extra: EXTRA_RETRIES,
                 window: RETRY_WINDOW,
--- a/src/operation/awaited.rs
+++ b/src/operation/awaited.rs
@@ -4,7 +4,7 @@
     super::step::RequestEvent,
     crate::{
         engine::{CallFailure, CallResult, ItemStream, PrefillReply},
-        route::{DeskAnswer, PlaceStage},
+        route::{PlacementAnswer, PlacementStage},
     },
     futures::{FutureExt, StreamExt, future::BoxFuture},
     std::time::Duration,
@@ -14,7 +14,7 @@
 /// The call or stream that a running request is waiting for.
 pub(super) enum Awaited {
     Nothing,
-    Desk(BoxFuture<'static, DeskAnswer>, PlaceStage),
+    Desk(BoxFuture<'static, PlacementAnswer>, PlacementStage),
     Prefill(BoxFuture<'static, CallResult<PrefillReply>>),
     Opening(BoxFuture<'static, CallResult<ItemStream>>),
     Items(ItemStream),
--- a/src/relay/host.rs
+++ b/src/relay/host.rs
@@ -109,7 +109,7 @@
         let parts = RelayParts::new(settings, dialect, gate, clock, store.eras.clone());
         let observing = parts.clone();
         let store = store.with_observer(Rc::new(move |is_answered| {
-            observing.note_store_call(is_answered)
+            observing.record_store_call(is_answered)
         }));
         let store = Rc::new(store);
         let host = Self {
@@ -153,8 +153,8 @@
             permits: Box::new(move |ask, is_passed_on| {
                 permits.clone().answer(ask, is_passed_on).boxed_local()
             }),
-            charges: Box::new(move |account, units| charge_parts.answer_charge(account, units)),
-            exchange: Box::new(move |theirs| sums_parts.answer_sums(&theirs)),
+            charges: Box::new(move |account, units| charge_parts.charge_ledger(account, units)),
+            exchange: Box::new(move |theirs| sums_parts.exchange_sums(&theirs)),
             findings: Box::new(move |told, is_zone| findings.apply_findings(&told, is_zone)),
             trials: Box::new(move |digest| trial_parts.grant_trial(digest)),
             follow: Box::new(move |held| news::answer_follow(parts.clone(), held).boxed_local()),
@@ -244,7 +244,7 @@
 // Applies the limits of the configuration in force to new connections.
 async fn apply_limit_changes(parts: Rc<RelayParts>, limits: Rc<IngressLimits>) {
     loop {
-        let news = parts.news.notified();
+        let news = parts.state_changed.notified();
         tokio::pin!(news);
         news.as_mut().enable();
         if let Some(routes) = parts.routes() {
@@ -288,7 +288,7 @@
         _ if path != parts.settings.ready_path => page(404, "no such page"),
         _ if parts.gate.is_stopping() => page(503, "stopping"),
         _ if parts.routes().is_none() => page(503, "no configuration yet"),
-        _ if !parts.knows_crashes() => page(503, "not told yet which requests end servers"),
+        _ if !parts.has_crash_records() => page(503, "not told yet which requests end servers"),
         _ => page(200, "ready"),
     }
 }
--- a/src/relay/news/answer.rs
+++ b/src/relay/news/answer.rs
@@ -26,11 +26,11 @@
 pub async fn answer_follow(parts: Rc<RelayParts>, held: HeldNews) -> ClusterNews {
     remember_informed_host(&parts, &held);
     let known = held.backends_position.max(held.hosts_position);
-    parts.note_store_era(known.era, "host");
+    parts.record_store_era(known.era, "host");
     let received_at = parts.now();
     let deadline = received_at + held.wait.min(MAX_HOLD);
     loop {
-        let changed = parts.news.notified();
+        let changed = parts.state_changed.notified();
         tokio::pin!(changed);
         changed.as_mut().enable();
         let news = ClusterNews {
@@ -61,7 +61,7 @@
 fn remember_informed_host(parts: &RelayParts, held: &HeldNews) {
     let has_complete_view = parts.cluster.borrow().age(parts.now()).is_some();
     if !has_complete_view && held.has_complete_view() {
-        parts.informed.set(held.peers);
+        parts.informed_peer.set(held.peers);
     }
 }
 
@@ -80,7 +80,7 @@
     let cluster = parts.cluster.borrow();
     if held.is_starting && cluster.host_count() > MAX_HOSTS_FOR_FULL_VIEW {
         return ClusterNews {
-            guides: source::guides_of(cluster.hosts().cloned(), &held.zone),
+            guides: source::starting_points(cluster.hosts().cloned(), &held.zone),
             ..ClusterNews::default()
         };
     }
--- a/src/relay/news/crash_message.rs
+++ b/src/relay/news/crash_message.rs
@@ -5,7 +5,7 @@
     crate::{
         news_capnp::crash_mark,
         relay::policy::{
-            crash_mark::{CrashMark, EndMark},
+            crash_report::{CrashEntry, CrashReport},
             digest::RequestDigest,
             loads::EngineKey,
         },
@@ -15,13 +15,13 @@
 };
 
 /// Encodes crash records.
-pub fn write_marks(mut to: struct_list::Builder<'_, crash_mark::Owned>, marks: &[CrashMark]) {
+pub fn write_marks(mut to: struct_list::Builder<'_, crash_mark::Owned>, marks: &[CrashReport]) {
     for (index, mark) in marks.iter().enumerate() {
         write_mark(to.reborrow().get(index as u32), mark);
     }
 }
 
-fn write_mark(mut to: crash_mark::Builder<'_>, mark: &CrashMark) {
+fn write_mark(mut to: crash_mark::Builder<'_>, mark: &CrashReport) {
     let (high, low) = split_digest(mark.digest);
     to.set_high(high);
     to.set_low(low);
@@ -30,8 +30,8 @@
     for (index, age) in mark.trials.iter().enumerate() {
         trials.set(index as u32, message::to_ms(Some(*age)));
     }
-    let mut ends = to.init_ends(mark.ends.len() as u32);
-    for (index, end) in mark.ends.iter().enumerate() {
+    let mut ends = to.init_ends(mark.crashes.len() as u32);
+    for (index, end) in mark.crashes.iter().enumerate() {
         let mut entry = ends.reborrow().get(index as u32);
         entry.set_run(end.run.0);
         entry.set_age_ms(message::to_ms(Some(end.age)));
@@ -40,19 +40,19 @@
 }
 
 /// Decodes crash records; fails if one is malformed.
-pub fn read_marks(from: struct_list::Reader<'_, crash_mark::Owned>) -> Result<Vec<CrashMark>> {
+pub fn read_marks(from: struct_list::Reader<'_, crash_mark::Owned>) -> Result<Vec<CrashReport>> {
     from.iter().map(read_mark).collect()
 }
 
-fn read_mark(from: crash_mark::Reader<'_>) -> Result<CrashMark> {
-    let ends = from.get_ends()?.iter().map(|end| EndMark {
+fn read_mark(from: crash_mark::Reader<'_>) -> Result<CrashReport> {
+    let ends = from.get_ends()?.iter().map(|end| CrashEntry {
         run: EngineKey(end.get_run()),
         age: from_millis(end.get_age_ms()),
         is_excused: end.get_is_excused(),
     });
-    Ok(CrashMark {
+    Ok(CrashReport {
         digest: join_digest(from.get_high(), from.get_low()),
-        ends: ends.collect(),
+        crashes: ends.collect(),
         trials: from.get_trials_ms()?.iter().map(from_millis).collect(),
         seen: from_millis(from.get_seen_ms()),
     })
--- a/src/relay/news/entry.rs
+++ b/src/relay/news/entry.rs
@@ -96,11 +96,11 @@
 async fn wait_for_list(parts: &RelayParts) {
     let waiting = async {
         loop {
-            let news = parts.news.notified();
+            let news = parts.state_changed.notified();
             tokio::pin!(news);
             news.as_mut().enable();
             // The crash records in an earlier run's entry are loaded first, so that a write does not lose them.
-            if parts.cluster.borrow().hosts_position().is_known() && parts.knows_crashes() {
+            if parts.cluster.borrow().hosts_position().is_known() && parts.has_crash_records() {
                 return;
             }
             news.await;
--- a/src/relay/news/feed.rs
+++ b/src/relay/news/feed.rs
@@ -10,8 +10,8 @@
             parts::{metric_labels::StoreCause, shared::RelayParts},
             policy::past_time::PastTime,
             policy::{
-                pauses::{FOLLOWER_PAUSES, READER_PAUSES, StorePauses},
-                source::old_news,
+                source::stale_age,
+                store_backoff::{FOLLOWER_BACKOFF, READER_BACKOFF, StoreBackoff},
             },
         },
         store::{StoreFailure, StorePosition},
@@ -136,7 +136,7 @@
                     ListFreshness::Latest => self.detect_restore(kind, known, list),
                     ListFreshness::MayLag => list,
                 };
-                self.parts.note_store_era(list.position.era, "store");
+                self.parts.record_store_era(list.position.era, "store");
                 let is_applied = self.apply_list(kind, list);
                 match (age, is_applied) {
                     (ListFreshness::Latest, true) => self.record_proof(kind, sent_at),
@@ -147,9 +147,7 @@
                     (_, false) if self.known_position(kind) != known => {}
                     (ListFreshness::MayLag, false) => {}
                     (ListFreshness::Latest, false) => {
-                        return Err(StoreFailure::Unknown(
-                            "list is older than the known position".into(),
-                        ));
+                        return Err(StoreFailure::Unknown("an older list than is known".into()));
                     }
                 }
                 Ok(())
@@ -216,10 +214,10 @@
         }
     }
 
-    fn retry_delays(&self) -> &'static StorePauses {
+    fn retry_delays(&self) -> &'static StoreBackoff {
         match self.reading_hosts.get() {
-            true => &READER_PAUSES,
-            false => &FOLLOWER_PAUSES,
+            true => &READER_BACKOFF,
+            false => &FOLLOWER_BACKOFF,
         }
     }
 
@@ -314,13 +312,13 @@
         tokio::select! {
             changes = watch => changes,
             () = self.reachability.recovered() => {
-                Err(StoreFailure::Unknown("the store was unresponsive during this watch".into()))
+                Err(StoreFailure::Unknown("the store fell silent meanwhile".into()))
             }
         }
     }
 
     fn watch_time(&self) -> Duration {
-        old_news(self.parts.settings.bounds.change_time).mul_f64(WATCH_TIME_FRACTION)
+        stale_age(self.parts.settings.bounds.change_time).mul_f64(WATCH_TIME_FRACTION)
     }
 
     // Where account keys are valid only for a bounded time after the configuration was proved current, each watch
@@ -330,7 +328,7 @@
             .parts
             .routes()
             .is_some_and(|routes| routes.accounts().is_some());
-        let renewed = self.parts.settings.bounds.keys.renew_time();
+        let renewed = self.parts.settings.bounds.keys.renewal_interval();
         match renewed.filter(|_| has_accounts) {
             Some(time) => time.min(self.watch_time()),
             None => self.watch_time(),
--- a/src/relay/news/findings.rs
+++ b/src/relay/news/findings.rs
@@ -14,7 +14,7 @@
             parts::shared::RelayParts,
             policy::{
                 digest::RequestDigest,
-                findings_cache::MarkSource,
+                findings_cache::FindingSource,
                 shared_findings::{SharedFindings, SharedRevisions},
             },
         },
@@ -71,11 +71,11 @@
         // them to the head of its own zone.
         let is_head = self.follower.head().is_none();
         let source = match is_zone && is_head {
-            true => MarkSource::Told,
-            false => MarkSource::Reported,
+            true => FindingSource::Distributed,
+            false => FindingSource::Reported,
         };
-        self.parts.take_marks(&findings.crashes, source);
-        self.parts.take_limits(&findings.limits, source);
+        self.parts.merge_crash_marks(&findings.crashes, source);
+        self.parts.apply_limits(&findings.limits, source);
     }
 
     /// Starts the tasks that send and fetch findings.
@@ -92,7 +92,7 @@
             sent_revisions: RefCell::default(),
         });
         let requester = sync.clone();
-        sync.parts.crashes.set_trial_ask(Rc::new(move |digest| {
+        sync.parts.crashes.set_trial_query(Rc::new(move |digest| {
             requester.clone().request_trial(digest).boxed_local()
         }));
         critical_task::spawn_critical("findings", sync.clone().run());
@@ -105,7 +105,8 @@
     async fn fetch_initial(self: Rc<Self>) {
         while !self.parts.cluster.borrow().hosts_position().is_known() {
             // An update between the check and the wait is noticed at the next check.
-            let waited = tokio::time::timeout(CHECK_INTERVAL, self.parts.news.notified()).await;
+            let waited =
+                tokio::time::timeout(CHECK_INTERVAL, self.parts.state_changed.notified()).await;
             log::trace!("waited for the list of hosts: {waited:?}");
         }
         let hosts = self.hosts_to_fetch_from().into_iter();
@@ -130,8 +131,8 @@
         let held = self.follower.held_news(entry.peers, Duration::ZERO, false);
         match self.client.follow(entry.peers, held, FETCH_TIMEOUT).await {
             Ok(news) => {
-                self.parts.take_crash_news(&news.crashes, entry.peers);
-                self.parts.take_limit_updates(&news.limits, entry.peers);
+                self.parts.merge_crash_news(&news.crashes, entry.peers);
+                self.parts.apply_limit_updates(&news.limits, entry.peers);
             }
             Err(error) => log::debug!("cannot fetch findings from host {}: {error}", entry.name),
         }
@@ -140,7 +141,7 @@
     async fn run(self: Rc<Self>) {
         loop {
             tokio::select! {
-                () = self.parts.reported.notified() => {}
+                () = self.parts.findings_changed.notified() => {}
                 () = tokio::time::sleep(CHECK_INTERVAL) => {}
             }
             let mut all_received = self.send_to_all().await;
--- a/src/relay/news/follow.rs
+++ b/src/relay/news/follow.rs
@@ -14,7 +14,7 @@
             link::HostEntry,
             parts::shared::RelayParts,
             policy::past_time::PastTime,
-            policy::source::{self, NewsSource, SourceChoice, SourceRules},
+            policy::source::{self, SourceSelector, SourceSettings, UpdateSource},
         },
         store::StorePosition,
     },
@@ -67,8 +67,8 @@
     pub(super) parts: Rc<RelayParts>,
     pub(super) reader: Rc<StoreReader>,
     pub(super) client: Rc<NewsClient>,
-    pub(super) choice: RefCell<SourceChoice>,
-    last_source: RefCell<NewsSource>,
+    pub(super) choice: RefCell<SourceSelector>,
+    last_source: RefCell<UpdateSource>,
     // The hosts to follow that a seed suggested, used until the list of hosts is known.
     pub(super) guides: RefCell<Vec<HostEntry>>,
     // Position and length of the host list that `choice` was computed from, and the number of guides.
@@ -89,20 +89,20 @@
         client: Rc<NewsClient>,
     ) -> Rc<Self> {
         let settings = &parts.settings;
-        let (start_patience, told_patience) = start::start_timeouts(&parts);
-        let rules = SourceRules {
+        let (start_wait, seed_wait) = start::start_timeouts(&parts);
+        let rules = SourceSettings {
             own: settings.name.clone(),
             zone: settings.zone.clone(),
-            old_news: source::old_news(settings.bounds.change_time),
-            start_patience,
-            told_patience,
+            stale_age: source::stale_age(settings.bounds.change_time),
+            start_wait,
+            seed_wait,
         };
         let follower = Rc::new(Self {
             parts,
             reader,
             client,
-            choice: RefCell::new(SourceChoice::new(rules)),
-            last_source: RefCell::new(NewsSource::Seeds),
+            choice: RefCell::new(SourceSelector::new(rules)),
+            last_source: RefCell::new(UpdateSource::Seeds),
             guides: RefCell::default(),
             choice_inputs: Cell::default(),
             newest_report: RefCell::default(),
@@ -122,13 +122,13 @@
     /// Records that the head of the zone did not answer a report.
     pub fn record_unreported(&self, name: &FastStr) {
         let now = self.parts.now();
-        self.choice.borrow_mut().note_unreported(name, now);
+        self.choice.borrow_mut().note_report_failed(name, now);
     }
 
     /// Records that the store answers the head of the zone again.
     pub fn record_store_back(&self) {
         let now = self.parts.now();
-        self.choice.borrow_mut().note_store_back(now);
+        self.choice.borrow_mut().note_store_recovered(now);
     }
 
     /// Records how current another host's view is, according to its report.
@@ -174,7 +174,7 @@
 
     async fn watch_changes(self: Rc<Self>) {
         loop {
-            self.parts.news.notified().await;
+            self.parts.state_changed.notified().await;
             self.notify_probe_change();
         }
     }
@@ -182,7 +182,7 @@
     async fn run(self: Rc<Self>) {
         loop {
             match self.choose() {
-                NewsSource::Store => {
+                UpdateSource::Store => {
                     let was_complete = self.has_complete_view();
                     // A hanging call is only noticed after a second or more, an outdated view earlier.
                     if self.reader.is_lost() || self.has_outdated_view() {
@@ -197,13 +197,13 @@
                         }
                     }
                 }
-                NewsSource::Host(entry) => {
+                UpdateSource::Host(entry) => {
                     tokio::select! {
                         () = self.follow(&entry) => {}
                         () = self.newer_view.notified() => self.poll_newer().await,
                     }
                 }
-                NewsSource::Seeds => self.poll_seeds().await,
+                UpdateSource::Seeds => self.poll_seeds().await,
             }
         }
     }
@@ -215,7 +215,7 @@
 
     fn has_outdated_view(&self) -> bool {
         let age = self.parts.cluster.borrow().age(self.parts.now());
-        self.choice.borrow().is_old(age)
+        self.choice.borrow().is_stale(age)
     }
 
     fn is_listed(&self) -> bool {
@@ -224,7 +224,7 @@
         hosts.any(|entry| entry.name == self.parts.settings.name)
     }
 
-    fn choose(&self) -> NewsSource {
+    fn choose(&self) -> UpdateSource {
         let now = self.parts.now();
         let age = self.parts.cluster.borrow().age(now);
         self.update_hosts();
@@ -238,7 +238,7 @@
             }
             (source, choice.is_reader(now))
         };
-        let reads = source == NewsSource::Store;
+        let reads = source == UpdateSource::Store;
         // A host that is not listed yet cannot know whether it is a reader, so it reads the hosts too.
         let is_listed = self.is_listed();
         self.reader
@@ -265,7 +265,7 @@
                 true => choice.set_hosts(cluster.hosts()),
             }
         }
-        self.parts.prefer_engines();
+        self.parts.update_preferred_engines();
     }
 
     // What this host already has, for a request to the host at an address.
@@ -285,8 +285,8 @@
             is_starting: false,
             zone: self.parts.settings.zone.clone(),
             peers: Some(self.parts.settings.peers),
-            crashes: self.parts.crashes.place_at(address),
-            limits: self.parts.limits.place_at(address),
+            crashes: self.parts.crashes.received_position(address),
+            limits: self.parts.limits.received_position(address),
         }
     }
 
@@ -313,7 +313,7 @@
             }
             Err(error) => {
                 log::debug!("host {} did not answer a poll: {error}", entry.name);
-                self.choice.borrow_mut().note_silent(&entry.name, now);
+                self.choice.borrow_mut().note_timeout(&entry.name, now);
             }
         }
     }
@@ -321,8 +321,8 @@
     fn record_answer(&self, name: &FastStr, news: &ClusterNews, now: Duration) {
         let mut choice = self.choice.borrow_mut();
         match news.age.is_none() && self.has_complete_view() {
-            true => choice.note_unknowing(name, now),
-            false => choice.note_heard(name, now),
+            true => choice.note_without_data(name, now),
+            false => choice.note_response(name, now),
         }
     }
 
@@ -367,7 +367,7 @@
         }
         addresses.shuffle(&mut rand::rng());
         addresses.truncate(POLLED_HEADS);
-        addresses.extend(self.parts.informed.take());
+        addresses.extend(self.parts.informed_peer.take());
         addresses
     }
 
@@ -384,11 +384,11 @@
     }
 }
 
-fn log_source_change(source: &NewsSource, age: Option<Duration>) {
+fn log_source_change(source: &UpdateSource, age: Option<Duration>) {
     let name = match source {
-        NewsSource::Store => "the store",
-        NewsSource::Host(entry) => entry.name.as_str(),
-        NewsSource::Seeds => "the hosts that the settings name",
+        UpdateSource::Store => "the store",
+        UpdateSource::Host(entry) => entry.name.as_str(),
+        UpdateSource::Seeds => "the hosts that the settings name",
     };
     let age = age.map_or("unknown".to_owned(), |age| age.as_millis().to_string());
     event::emit(&event::NEWS_SOURCE, &[("source", &name), ("age_ms", &age)]);
--- a/src/relay/news/permits.rs
+++ b/src/relay/news/permits.rs
@@ -54,7 +54,7 @@
     /// there, so that a single host allocates the permits although the requester cannot reach it.
     pub async fn answer(self: Rc<Self>, request: PermitRequest, is_forwarded: bool) -> PermitGrant {
         let zone = self.parts.settings.zone.clone();
-        let owner = self.parts.owner(&zone, request.server);
+        let owner = self.parts.permit_owner(&zone, request.server);
         let other = owner.filter(|owner| owner.name != self.parts.settings.name);
         match other {
             Some(owner) if !is_forwarded => {
@@ -69,12 +69,12 @@
 
     async fn request(self: Rc<Self>, zone: FastStr, request: PermitRequest) -> PermitGrant {
         for _ in 0..MAX_OWNERS_TRIED {
-            let Some(owner) = self.parts.owner(&zone, request.server) else {
+            let Some(owner) = self.parts.permit_owner(&zone, request.server) else {
                 break;
             };
             if owner.name == self.parts.settings.name {
                 // A host that is isolated from all others does not know which permits they use.
-                return match self.parts.is_in_touch() {
+                return match self.parts.has_peer_contact() {
                     true => self.parts.allocate_permits(&request),
                     false => self.parts.allocate_alone(&request),
                 };
@@ -92,7 +92,7 @@
 
     fn may_request(&self) -> bool {
         let now = self.parts.now();
-        self.parts.permits.owners.borrow_mut().may_ask(now)
+        self.parts.permits.owners.borrow_mut().may_request(now)
     }
 
     async fn request_from(
@@ -109,16 +109,16 @@
         let mut owners = self.parts.permits.owners.borrow_mut();
         match answer {
             Ok(grant) => {
-                owners.note_heard(&owner.name);
+                owners.record_response(&owner.name);
                 if grant.permits == 0 && request.wanted > 0 {
-                    owners.note_denied();
+                    owners.record_denial();
                 }
                 Some(grant)
             }
             Err(error) => {
                 log::debug!("cannot request permits from host {}: {error}", owner.name);
                 let is_gone = error.kind == ErrorKind::Disconnected;
-                owners.note_silent(&owner.name, is_gone, self.parts.now());
+                owners.record_no_response(&owner.name, is_gone, self.parts.now());
                 None
             }
         }
@@ -127,7 +127,7 @@
     async fn run_expiry(self: Rc<Self>) {
         loop {
             tokio::time::sleep(EXPIRY_INTERVAL).await;
-            self.parts.forget_limits();
+            self.parts.evict_limits();
         }
     }
 }
@@ -137,6 +137,6 @@
     PermitGrant {
         permits: 0,
         wait: NOT_REQUESTED_WAIT,
-        saying: request.saying,
+        reported: request.reported,
     }
 }
--- a/src/relay/news/settle.rs
+++ b/src/relay/news/settle.rs
@@ -7,7 +7,7 @@
         relay::{
             critical_task,
             link::HostEntry,
-            parts::{accounts::LedgerAsk, shared::RelayParts},
+            parts::{accounts::LedgerQuery, shared::RelayParts},
         },
     },
     futures::{FutureExt, future},
@@ -41,7 +41,9 @@
             client,
             targets: ZoneTargets::default(),
         });
-        sync.parts.accounts.set_ask(sync.clone().ledger_call());
+        sync.parts
+            .accounts
+            .set_ledger_query(sync.clone().ledger_call());
         critical_task::spawn_critical("ledger zones", sync.clone().watch_zones());
         critical_task::spawn_critical("account ledger", sync.run());
     }
@@ -49,13 +51,13 @@
     // Updates the ledger's set of zones as soon as this host's view changes: the remainder of a limit depends on it.
     async fn watch_zones(self: Rc<Self>) {
         loop {
-            self.parts.news.notified().await;
-            self.parts.keep_books();
+            self.parts.state_changed.notified().await;
+            self.parts.update_ledger();
         }
     }
 
     // The ledger of a zone is kept by the zone's head.
-    fn ledger_call(self: Rc<Self>) -> Rc<LedgerAsk> {
+    fn ledger_call(self: Rc<Self>) -> Rc<LedgerQuery> {
         Rc::new(move |account, units, timeout| {
             let head = self.follower.head()?;
             let client = self.client.clone();
@@ -74,7 +76,7 @@
 
     // A host that has never received account usage from the ledger has no reason to wait for this head.
     fn skip_unknown_head(&self, head: &HostEntry) {
-        if self.parts.is_untold_of_use() {
+        if self.parts.lacks_account_data() {
             self.follower.record_unreported(&head.name);
         }
     }
@@ -82,10 +84,10 @@
     async fn run(self: Rc<Self>) {
         for round in 0_u32.. {
             tokio::time::sleep(SYNC_INTERVAL).await;
-            self.parts.keep_books();
+            self.parts.update_ledger();
             let Some(sums) = self
                 .parts
-                .sums_to_tell(round.is_multiple_of(FULL_SYNC_INTERVALS))
+                .sums_to_send(round.is_multiple_of(FULL_SYNC_INTERVALS))
             else {
                 continue;
             };
@@ -113,7 +115,7 @@
         let now = self.parts.now();
         self.targets.record_result(&entry.name, answer.is_ok(), now);
         match answer {
-            Ok(theirs) => self.parts.take_sums(&theirs),
+            Ok(theirs) => self.parts.merge_sums(&theirs),
             Err(error) => log::debug!(
                 "cannot exchange ledger totals with host {}: {error}",
                 entry.name
--- a/src/relay/news/share.rs
+++ b/src/relay/news/share.rs
@@ -8,7 +8,7 @@
             critical_task,
             link::HostEntry,
             parts::shared::RelayParts,
-            policy::loads::{LoadBoard, LoadReport, LoadReporter},
+            policy::loads::{LoadAggregator, LoadReport, LoadReporter},
         },
     },
     std::{cell::RefCell, rc::Rc, time::Duration},
@@ -44,7 +44,7 @@
     parts: Rc<RelayParts>,
     follower: Rc<NewsFollower>,
     client: Rc<NewsClient>,
-    board: RefCell<LoadBoard>,
+    board: RefCell<LoadAggregator>,
     targets: ZoneTargets,
 }
 
@@ -77,15 +77,15 @@
             self.follower.record_report(name, view);
         }
         if reporter != self.own_reporter() {
-            self.parts.note_peer();
+            self.parts.record_peer_contact();
         }
         let now = self.parts.now();
         let accounts = self.answer_accounts(&reporter, &report.accounts);
         let mut board = self.board.borrow_mut();
-        board.take(reporter.clone(), report, now);
+        board.record(reporter.clone(), report, now);
         let answer = match reporter {
-            LoadReporter::Host(name) => board.others_of(&name, now),
-            LoadReporter::Zone(_) => board.of_zone(now),
+            LoadReporter::Host(name) => board.total_without(&name, now),
+            LoadReporter::Zone(_) => board.zone_total(now),
         };
         LoadReport {
             accounts,
@@ -96,7 +96,7 @@
 
     fn answer_accounts(&self, reporter: &LoadReporter, report: &UseReport) -> UseReport {
         match reporter {
-            LoadReporter::Host(_) => self.parts.answer_uses(&report.uses),
+            LoadReporter::Host(_) => self.parts.record_uses(&report.uses),
             LoadReporter::Zone(_) => UseReport::default(),
         }
     }
@@ -141,14 +141,14 @@
 
     // Adds this host's own load to the sum of its zone.
     fn collect_own(&self) {
-        let own = self.parts.own_report();
+        let own = self.parts.load_report();
         let others = self.answer(self.own_reporter(), own, ReportedView::default());
-        self.board.borrow_mut().forget_old(self.parts.now());
-        self.parts.take_others(others);
+        self.board.borrow_mut().remove_expired(self.parts.now());
+        self.parts.apply_fleet_report(others);
     }
 
     async fn report_to(&self, entry: &HostEntry) {
-        let own = self.parts.own_report();
+        let own = self.parts.load_report();
         let uses = own.accounts.uses.clone();
         let reporter = self.own_reporter();
         let sent = self.client.share(
@@ -160,16 +160,16 @@
         );
         match sent.await {
             Ok(others) => {
-                self.parts.note_peer();
+                self.parts.record_peer_contact();
                 if !others.is_store_lost {
                     self.follower.record_store_back();
                 }
-                self.parts.take_others(others);
+                self.parts.apply_fleet_report(others);
             }
             Err(error) => {
                 log::debug!("cannot report the load to host {}: {error}", entry.name);
                 self.follower.record_unreported(&entry.name);
-                self.parts.put_back_uses(uses);
+                self.parts.restore_uses(uses);
             }
         }
     }
@@ -182,7 +182,7 @@
             .targets
             .other_zones(&self.parts.cluster.borrow(), own_zone, now);
         for entry in targets {
-            let report = self.board.borrow().of_zone(self.parts.now());
+            let report = self.board.borrow().zone_total(self.parts.now());
             let sent = self.client.share(
                 entry.peers,
                 &reporter,
@@ -195,9 +195,9 @@
             self.targets.record_result(&entry.name, answer.is_ok(), now);
             match answer {
                 Ok(theirs) => {
-                    self.parts.note_peer();
+                    self.parts.record_peer_contact();
                     let mut board = self.board.borrow_mut();
-                    board.take(LoadReporter::Zone(entry.zone), theirs, now);
+                    board.record(LoadReporter::Zone(entry.zone), theirs, now);
                 }
                 Err(error) => {
                     log::debug!(
--- a/src/relay/news/start.rs
+++ b/src/relay/news/start.rs
@@ -39,7 +39,7 @@
         seeds.retain(|address| *address != settings.peers);
         seeds.shuffle(&mut rand::rng());
         for address in seeds {
-            let left = self.choice.borrow().patience_left(self.parts.now());
+            let left = self.choice.borrow().start_wait_left(self.parts.now());
             let held = HeldNews {
                 is_starting: true,
                 ..self.held_news(address, SEED_HOLD.min(left / 2), true)
@@ -48,7 +48,7 @@
             let sent_at = self.parts.now();
             let answer = self.client.follow(address, held, timeout).await;
             if answer.is_ok() {
-                self.choice.borrow_mut().note_seed();
+                self.choice.borrow_mut().note_seed_response();
             }
             match answer {
                 Ok(news) if !news.guides.is_empty() => {
@@ -62,7 +62,7 @@
                 return;
             }
         }
-        let left = self.choice.borrow().patience_left(self.parts.now());
+        let left = self.choice.borrow().start_wait_left(self.parts.now());
         tokio::time::sleep(SEEDS_RETRY_DELAY.min(left)).await;
     }
 }
--- a/src/relay/news/store_updates.rs
+++ b/src/relay/news/store_updates.rs
@@ -59,14 +59,14 @@
                 let mut cluster = self.parts.cluster.borrow_mut();
                 let is_applied = cluster.set_hosts(hosts, position, now);
                 drop(cluster);
-                self.parts.note_hosts();
-                self.parts.news.notify_waiters();
+                self.parts.handle_host_change();
+                self.parts.state_changed.notify_waiters();
                 is_applied
             }
             StoreKind::Leases => true,
         };
         match is_applied {
-            true => self.parts.note_reread(),
+            true => self.parts.log_reread(),
             false => self.log_stale_list(kind, position),
         }
         is_applied
@@ -95,8 +95,8 @@
                 cluster.change_hosts(changes, position);
                 drop(cluster);
                 if has_changes {
-                    self.parts.note_hosts();
-                    self.parts.news.notify_waiters();
+                    self.parts.handle_host_change();
+                    self.parts.state_changed.notify_waiters();
                 }
             }
             StoreKind::Leases => {}
--- a/src/relay/news/take.rs
+++ b/src/relay/news/take.rs
@@ -16,9 +16,9 @@
         let confirmed = news.confirmed(sent_at);
         let proved = news.proved(sent_at);
         let position = news.backends.position.max(news.hosts.position);
-        self.parts.note_store_era(position.era, "host");
-        self.parts.take_crash_news(&news.crashes, from);
-        self.parts.take_limit_updates(&news.limits, from);
+        self.parts.record_store_era(position.era, "host");
+        self.parts.merge_crash_news(&news.crashes, from);
+        self.parts.apply_limit_updates(&news.limits, from);
         self.apply_lists(&news, confirmed);
         let held = self.parts.cluster.borrow().config_version();
         let has_config = match news.config {
@@ -59,12 +59,12 @@
         let has_changed = cluster.backend_update_count() != before;
         drop(cluster);
         if news.hosts.is_whole || !news.hosts.changes.is_empty() {
-            self.parts.note_hosts();
+            self.parts.handle_host_change();
         }
         if has_changed {
             self.parts.publish_backends();
         }
-        self.parts.note_reread();
+        self.parts.log_reread();
     }
 
     // Reads a large configuration from the store, or gets it from the host that announced it if the store does not
--- a/src/relay/parts/crashes.rs
+++ b/src/relay/parts/crashes.rs
@@ -1,4 +1,5 @@
-//! Requests that end their servers, at this host: what was seen and told goes into the book, the log and the metrics.
+//! Fatal requests: requests under which backend servers crash. Records what this host observes and what other hosts report,
+//! and logs and counts it.
 
 use {
     super::shared::RelayParts,
@@ -8,11 +9,11 @@
             backend::BackendInfo,
             link::HostEntry,
             policy::{
-                crash_book::{CrashBook, CrashChange},
-                crash_mark::{CrashMark, CrashNews, KeptJudgement},
-                crash_record::CrashJudgement,
+                crash_record::CrashVerdict,
+                crash_report::{CrashReport, CrashUpdates, StoredVerdict},
+                crash_tracker::{CrashTracker, VerdictChange},
                 digest::RequestDigest,
-                findings_cache::{CachePosition, MarkSource},
+                findings_cache::{CachePosition, FindingSource},
                 loads::EngineKey,
             },
         },
@@ -28,113 +29,114 @@
     },
 };
 
-/// Requests that a host's entry keeps at most: a fleet with more of them has lost two dozen servers to them already.
-const KEPT_MOST: usize = 8;
+/// Maximum number of fatal requests that a host's entry in the store keeps. A fleet with more of them has already lost two
+/// dozen servers to them.
+const KEPT_JUDGEMENTS_MAX: usize = 8;
 
-/// Asks the host whose permit it is whether a request may be tried.
-pub type TrialAsk = dyn Fn(RequestDigest) -> LocalBoxFuture<'static, bool>;
+/// Asks the host that grants trials of a request whether it may be tried.
+pub type TrialQuery = dyn Fn(RequestDigest) -> LocalBoxFuture<'static, bool>;
 
-/// The book, and what goes with it.
-pub struct CrashDesk {
-    book: RefCell<CrashBook>,
-    // Those that this host's entry in the store keeps.
+/// This host's records of fatal requests, and the state of their exchange with other hosts.
+pub struct CrashRecords {
+    book: RefCell<CrashTracker>,
+    // Fatal requests that this host's entry in the store keeps.
     kept: RefCell<BTreeSet<RequestDigest>>,
-    // Up to where this host was told of each other's book, by its address.
-    told: RefCell<HashMap<SocketAddr, CachePosition>>,
-    // Whether another host has told what it knows, or none is there that could, and the store was looked at.
+    // Position up to which this host has received the records of each other host, by its address.
+    received: RefCell<HashMap<SocketAddr, CachePosition>>,
+    // Whether this host has received the records of another host, or, where none could send them, those in the store.
     has_learned: Cell<bool>,
-    trial_ask: RefCell<Option<Rc<TrialAsk>>>,
+    trial_query: RefCell<Option<Rc<TrialQuery>>>,
 }
 
-impl fmt::Debug for CrashDesk {
+impl fmt::Debug for CrashRecords {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "CrashDesk({} requests)", self.book.borrow().len())
+        write!(f, "CrashRecords({} requests)", self.book.borrow().len())
     }
 }
 
-impl CrashDesk {
-    /// An empty book; `id` is drawn at random.
+impl CrashRecords {
+    /// Creates empty records; `id` is random.
     pub fn new(id: u64) -> Self {
         Self {
-            book: RefCell::new(CrashBook::new(id)),
+            book: RefCell::new(CrashTracker::new(id)),
             kept: RefCell::default(),
-            told: RefCell::default(),
+            received: RefCell::default(),
             has_learned: Cell::default(),
-            trial_ask: RefCell::default(),
+            trial_query: RefCell::default(),
         }
     }
 
-    /// Takes the way to the hosts that allow trials.
-    pub fn set_trial_ask(&self, ask: Rc<TrialAsk>) {
-        *self.trial_ask.borrow_mut() = Some(ask);
+    /// Sets the function that asks other hosts for trials.
+    pub fn set_trial_query(&self, query: Rc<TrialQuery>) {
+        *self.trial_query.borrow_mut() = Some(query);
     }
 
-    /// Whether no request is remembered: then none needs a digest.
+    /// Returns whether there are no records. Requests need no digest then.
     pub fn is_empty(&self) -> bool {
         self.book.borrow().is_empty()
     }
 
-    /// Requests that are held to end their servers.
+    /// Number of requests that are judged fatal.
     pub fn fatal_count(&self) -> usize {
         self.book.borrow().fatal_count()
     }
 
-    /// What this host has been told of the book of the host at an address.
-    pub fn place_at(&self, address: SocketAddr) -> CachePosition {
-        self.told
+    /// Returns the position up to which this host has received the records of the host at an address.
+    pub fn received_position(&self, address: SocketAddr) -> CachePosition {
+        self.received
             .borrow()
             .get(&address)
             .copied()
             .unwrap_or_default()
     }
 
-    // Forgets what hosts told that are listed no longer.
-    fn keep_told(&self, is_listed: impl Fn(&SocketAddr) -> bool) {
-        self.told
+    // Removes the positions of hosts that are no longer listed.
+    fn retain_listed(&self, is_listed: impl Fn(&SocketAddr) -> bool) {
+        self.received
             .borrow_mut()
             .retain(|address, _| is_listed(address));
     }
 }
 
 impl RelayParts {
-    /// What a request is held to be, and that it has come.
-    pub fn judge(&self, digest: RequestDigest) -> CrashJudgement {
+    /// Returns the judgement on a request and records that the request arrived.
+    pub fn judge_request(&self, digest: RequestDigest) -> CrashVerdict {
         let now = self.now();
         let mut book = self.crashes.book.borrow_mut();
-        let judgement = book.judge(digest, now);
-        if judgement != CrashJudgement::Harmless {
-            book.note_seen(digest, now);
+        let judgement = book.verdict(digest, now);
+        if judgement != CrashVerdict::Harmless {
+            book.record_seen(digest, now);
         }
         judgement
     }
 
-    /// A backend server ended under a request.
-    pub fn note_end(&self, digest: RequestDigest, backend: &BackendInfo) {
+    /// Records that a backend server crashed while it ran a request.
+    pub fn record_crash(&self, digest: RequestDigest, backend: &BackendInfo) {
         let run = EngineKey::of_run(&backend.id, backend.born);
         let change = {
             let mut book = self.crashes.book.borrow_mut();
-            book.note_end(digest, run, self.now())
+            book.record_crash(digest, run, self.now())
         };
-        self.crash_noted(digest, change);
+        self.publish_crash_change(digest, change);
     }
 
-    /// A request came to its good end.
-    pub fn note_good_run(&self, digest: impl FnOnce() -> RequestDigest) {
+    /// Records that a request completed successfully.
+    pub fn record_success(&self, digest: impl FnOnce() -> RequestDigest) {
         if self.crashes.is_empty() {
             return;
         }
         let digest = digest();
-        let before = self.crashes.book.borrow().place();
+        let before = self.crashes.book.borrow().position();
         let change = {
             let mut book = self.crashes.book.borrow_mut();
-            book.note_good_run(digest, self.now())
+            book.record_success(digest, self.now())
         };
-        if self.crashes.book.borrow().place() != before {
-            self.crash_noted(digest, change);
+        if self.crashes.book.borrow().position() != before {
+            self.publish_crash_change(digest, change);
         }
     }
 
-    /// Whether a request that is held to end its servers may be tried now, as this host knows; if so, the trial begins.
+    /// Returns whether a fatal request may be tried now according to this host's records; if so, records the trial.
     pub fn grant_trial(&self, digest: RequestDigest) -> bool {
         let granted = self
             .crashes
@@ -143,87 +145,89 @@
             .grant_trial(digest, self.now());
         if granted {
             event::emit(&event::REQUEST_TRIED, &[("digest", &digest)]);
-            self.crash_noted(digest, None);
+            self.publish_crash_change(digest, None);
         }
         granted
     }
 
-    /// Asks whether a request may be tried, of the host whose permit it is.
-    pub async fn ask_trial(&self, digest: RequestDigest) -> bool {
-        let ask = self.crashes.trial_ask.borrow().clone();
-        match ask {
-            Some(ask) => ask(digest).await,
+    /// Asks the host that grants trials of a request whether it may be tried.
+    pub async fn request_trial(&self, digest: RequestDigest) -> bool {
+        let query = self.crashes.trial_query.borrow().clone();
+        match query {
+            Some(query) => query(digest).await,
             None => self.grant_trial(digest),
         }
     }
 
-    fn crash_noted(&self, digest: RequestDigest, change: Option<CrashChange>) {
-        if change == Some(CrashChange::Judged) {
+    fn publish_crash_change(&self, digest: RequestDigest, change: Option<VerdictChange>) {
+        if change == Some(VerdictChange::BecameFatal) {
             self.keep_judgement(digest);
         }
         if let Some(change) = change {
             self.log_judgements(&[(digest, change)]);
         }
-        self.reported.notify_one();
-        self.news.notify_waiters();
+        self.findings_changed.notify_one();
+        self.state_changed.notify_waiters();
     }
 
-    /// Takes what another host told.
-    pub fn take_marks(&self, marks: &[CrashMark], source: MarkSource) {
+    /// Merges records from another host.
+    pub fn merge_crash_marks(&self, marks: &[CrashReport], source: FindingSource) {
         if marks.is_empty() {
             return;
         }
-        let before = self.crashes.book.borrow().place();
+        let before = self.crashes.book.borrow().position();
         let changes = {
             let mut book = self.crashes.book.borrow_mut();
-            book.take(marks, source, self.now())
+            book.merge(marks, source, self.now())
         };
         self.log_judgements(&changes);
-        if self.crashes.book.borrow().place() == before {
+        if self.crashes.book.borrow().position() == before {
             return;
         }
-        if source == MarkSource::Reported {
+        if source == FindingSource::Reported {
             let judged = changes
                 .iter()
-                .filter(|(_, change)| *change == CrashChange::Judged);
+                .filter(|(_, change)| *change == VerdictChange::BecameFatal);
             judged.for_each(|(digest, _)| self.keep_judgement(*digest));
-            self.reported.notify_one();
+            self.findings_changed.notify_one();
         }
-        self.news.notify_waiters();
+        self.state_changed.notify_waiters();
     }
 
-    // Who is told is not the first to know: one or two hosts write a judgement to the store.
+    // Adds a fatal request to those that this host's entry in the store keeps. Hosts that learn of the judgement in the
+    // fleet-wide exchange don't add it, so that only one or two hosts write it to the store.
     fn keep_judgement(&self, digest: RequestDigest) {
         let mut kept = self.crashes.kept.borrow_mut();
-        if kept.len() < KEPT_MOST {
+        if kept.len() < KEPT_JUDGEMENTS_MAX {
             kept.insert(digest);
         }
     }
 
-    /// What this host's entry in the store is to keep.
-    pub fn kept_judgements(&self) -> Vec<KeptJudgement> {
+    /// Returns the judgements for this host's entry in the store.
+    pub fn kept_judgements(&self) -> Vec<StoredVerdict> {
         let book = self.crashes.book.borrow();
         let mut kept = self.crashes.kept.borrow_mut();
-        kept.retain(|digest| book.fatal_mark(*digest, self.now()).is_some());
+        kept.retain(|digest| book.fatal_report(*digest, self.now()).is_some());
         let marks = kept
             .iter()
-            .filter_map(|digest| book.fatal_mark(*digest, self.now()));
-        marks.map(|mark| KeptJudgement::of(&mark)).collect()
+            .filter_map(|digest| book.fatal_report(*digest, self.now()));
+        marks.map(|mark| StoredVerdict::of(&mark)).collect()
     }
 
-    /// The list of hosts has changed.
-    pub fn note_hosts(&self) {
+    /// Updates state that depends on the list of hosts, after it has changed.
+    pub fn handle_host_change(&self) {
         let cluster = self.cluster.borrow();
         let is_listed = |address: &SocketAddr| cluster.hosts().any(|entry| entry.peers == *address);
-        self.crashes.keep_told(is_listed);
-        self.limits.keep_told(is_listed);
+        self.crashes.retain_listed(is_listed);
+        self.limits.retain_listed(is_listed);
         drop(cluster);
-        self.take_over_judgements();
-        self.mark_all_own();
+        self.adopt_judgements();
+        self.update_all_ownership();
     }
 
-    // A planned stop takes a host's entry away with what it keeps; the first by draw of those that are left keeps it then.
-    fn take_over_judgements(&self) {
+    // A planned stop removes a host's entry with the judgements in it. The remaining host that ranks first for the digest
+    // then keeps them.
+    fn adopt_judgements(&self) {
         let cluster = self.cluster.borrow();
         let own = &self.settings.name;
         for digest in self.crashes.book.borrow().fatal_digests() {
@@ -236,14 +240,15 @@
         }
     }
 
-    /// All that could tell were asked. If none of them knew, all have started at once, and what entries in the store keep is
-    /// all that is known. Otherwise they count for nothing: those of lost hosts stay, and would keep a request refused for good.
+    /// Finishes learning once every host that could send its records was asked. If none had any, all hosts have started at
+    /// the same time, and the judgements in the store are all that is known. Otherwise those are ignored: entries of lost
+    /// hosts stay in the store and would keep a request refused forever.
     pub fn finish_learning(&self) {
         let cluster = self.cluster.borrow();
         let kept = cluster
             .hosts()
             .map(|entry| (entry.name.clone(), kept_marks(entry)));
-        let kept: Vec<(FastStr, Vec<CrashMark>)> = kept.collect();
+        let kept: Vec<(FastStr, Vec<CrashReport>)> = kept.collect();
         drop(cluster);
         for (name, marks) in kept {
             if name == self.settings.name {
@@ -251,51 +256,55 @@
                 own.for_each(|mark| self.keep_judgement(mark.digest));
             }
             if !self.crashes.has_learned.get() {
-                self.take_marks(&marks, MarkSource::Told);
+                self.merge_crash_marks(&marks, FindingSource::Distributed);
             }
         }
         self.crashes.has_learned.set(true);
-        self.news.notify_waiters();
+        self.state_changed.notify_waiters();
     }
 
-    /// Takes what the host at an address told with its news.
-    pub fn take_crash_news(&self, news: &CrashNews, from: SocketAddr) {
-        self.take_marks(&news.marks, MarkSource::Told);
-        if news.place.book == 0 {
+    /// Merges the records that the host at an address sent in an update.
+    pub fn merge_crash_news(&self, news: &CrashUpdates, from: SocketAddr) {
+        self.merge_crash_marks(&news.findings, FindingSource::Distributed);
+        if news.position.cache_id == 0 {
             return;
         }
-        self.crashes.told.borrow_mut().insert(from, news.place);
+        self.crashes
+            .received
+            .borrow_mut()
+            .insert(from, news.position);
         self.crashes.has_learned.set(true);
     }
 
-    /// What an asker lacks that all hosts are to know. A host that has only just started does not pass for one that knows.
-    pub fn crash_news(&self, known: CachePosition) -> CrashNews {
+    /// Returns the records for all hosts that a peer lacks. A host that has just started sends no position, so that peers
+    /// don't count it as an informed host.
+    pub fn crash_news(&self, known: CachePosition) -> CrashUpdates {
         let book = self.crashes.book.borrow();
-        let news = book.news_since(known, self.now());
-        let place = match self.crashes.has_learned.get() {
-            true => news.place,
+        let news = book.updates_since(known, self.now());
+        let position = match self.crashes.has_learned.get() {
+            true => news.position,
             false => CachePosition::default(),
         };
-        CrashNews { place, ..news }
+        CrashUpdates { position, ..news }
     }
 
-    /// What another host is to hear of this one, after a revision of its book; and the revision to which that goes.
-    pub fn marks_to_report(&self, since: Option<u64>) -> (Vec<CrashMark>, u64) {
+    /// Returns the records to report to another host that changed after a revision, and the revision that they reach.
+    pub fn marks_to_report(&self, since: Option<u64>) -> (Vec<CrashReport>, u64) {
         let book = self.crashes.book.borrow();
         let marks = book.reported_since(since, self.now());
-        (marks, book.place().revision)
+        (marks, book.position().revision)
     }
 
-    /// Whether this host was told which requests end servers, as far as anybody could tell it.
-    pub fn knows_crashes(&self) -> bool {
+    /// Returns whether this host knows the fatal requests as far as any other host could send them.
+    pub fn has_crash_records(&self) -> bool {
         self.crashes.has_learned.get() || !self.cluster.borrow().hosts_position().is_known()
     }
 
-    fn log_judgements(&self, changes: &[(RequestDigest, CrashChange)]) {
+    fn log_judgements(&self, changes: &[(RequestDigest, VerdictChange)]) {
         for (digest, change) in changes {
             let kind = match change {
-                CrashChange::Judged => &event::REQUEST_JUDGED,
-                CrashChange::Cleared => &event::REQUEST_CLEARED,
+                VerdictChange::BecameFatal => &event::REQUEST_JUDGED,
+                VerdictChange::NoLongerFatal => &event::REQUEST_CLEARED,
             };
             event::emit(kind, &[("digest", digest)]);
         }
@@ -306,7 +315,7 @@
     kept_marks(entry).iter().any(|mark| mark.digest == digest)
 }
 
-fn kept_marks(entry: &HostEntry) -> Vec<CrashMark> {
+fn kept_marks(entry: &HostEntry) -> Vec<CrashReport> {
     let kept = entry.judged.iter();
-    kept.filter_map(KeptJudgement::mark).collect()
+    kept.filter_map(StoredVerdict::report).collect()
 }
--- a/src/relay/parts/publish.rs
+++ b/src/relay/parts/publish.rs
@@ -1,4 +1,4 @@
-//! What becomes of news: a configuration is in force, requests go to other backend servers.
+//! Applies updates of the cluster state: activates configurations and publishes changes of the backend servers.
 
 use {
     super::shared::RelayParts,
@@ -14,48 +14,48 @@
     std::collections::HashMap,
 };
 
-/// Names that a line of the log shows at most.
-const NAMES_SHOWN: usize = 8;
+/// Maximum number of names in a log line.
+const LOGGED_NAMES_MAX: usize = 8;
 
 impl RelayParts {
-    /// Takes a configuration from the store or another host, if it is newer.
+    /// Activates a configuration from the store or another host if it is newer than the current one.
     pub fn offer_config(&self, config: RelayConfig, from: &str) {
         let version = config.version;
-        let taken = self.cluster.borrow_mut().update_config(config);
-        if taken {
+        let is_newer = self.cluster.borrow_mut().update_config(config);
+        if is_newer {
             event::emit(
                 &event::CONFIG_IN_FORCE,
                 &[("version", &version), ("from", &from)],
             );
-            self.waits.borrow_mut().clear();
-            self.news.notify_waiters();
+            self.caller_waits.borrow_mut().clear();
+            self.state_changed.notify_waiters();
         }
     }
 
-    /// Tells the book which backend servers there are, and other hosts that there is news.
+    /// Applies the current list of backend servers to routing and wakes the tasks that wait for changes.
     pub fn publish_backends(&self) {
         let usable = self.cluster.borrow().usable();
         let count = usable.len();
         let changes = self.book.borrow_mut().set_backends(usable);
-        for earlier in &changes.started {
-            self.kept.borrow_mut().forget(&earlier.id);
+        for earlier in &changes.restarted {
+            self.prompt_caches.borrow_mut().forget(&earlier.id);
             self.pool.forget(earlier.address);
         }
-        self.prefer_engines();
-        self.mark_all_own();
+        self.update_preferred_engines();
+        self.update_all_ownership();
         if !changes.is_empty() {
             self.log_changes(&changes, count);
         }
         let book = self.book.borrow();
-        let mut kept = self.kept.borrow_mut();
+        let mut kept = self.prompt_caches.borrow_mut();
         kept.retain(|engine| book.view(engine).is_some());
         drop((book, kept));
-        self.freed.notify_waiters();
-        self.news.notify_waiters();
+        self.capacity_freed.notify_waiters();
+        self.state_changed.notify_waiters();
     }
 
-    /// Works out anew which engines of its zone this host works with first.
-    pub fn prefer_engines(&self) {
+    /// Recomputes which engines of its availability zone this host prefers.
+    pub fn update_preferred_engines(&self) {
         let own = &self.settings.name;
         let zone = &self.settings.zone;
         let cluster = self.cluster.borrow();
@@ -89,25 +89,30 @@
                 ("age_ms", &age.map_or(-1, |age| age.as_millis() as i64)),
                 ("backends", &count),
                 ("added", &changes.added),
-                ("started", &changes.started.len()),
+                ("started", &changes.restarted.len()),
                 ("leaving", &short_list(&changes.leaving)),
-                ("other_role", &short_list(&changes.other_role)),
-                ("gone", &short_list(&changes.gone)),
+                ("other_role", &short_list(&changes.role_changed)),
+                ("gone", &short_list(&changes.removed)),
             ],
         );
     }
 
-    /// The name of this host, for logs.
+    /// The name of this host.
     pub fn name(&self) -> FastStr {
         self.settings.name.clone()
     }
 }
 
-// The first names of a list, and how many more there are: a zone's loss would make a line of its own length.
+// Joins the first names of a list and adds how many more there are: the loss of a zone would otherwise produce a very long
+// line.
 fn short_list(names: &[FastStr]) -> String {
-    let shown: Vec<&str> = names.iter().take(NAMES_SHOWN).map(|name| &**name).collect();
+    let shown: Vec<&str> = names
+        .iter()
+        .take(LOGGED_NAMES_MAX)
+        .map(|name| &**name)
+        .collect();
     let shown = shown.join(",");
-    match names.len().saturating_sub(NAMES_SHOWN) {
+    match names.len().saturating_sub(LOGGED_NAMES_MAX) {
         0 => shown,
         more => format!("{shown},+{more}"),
     }
--- a/src/relay/parts/server_limits.rs
+++ b/src/relay/parts/server_limits.rs
@@ -1,4 +1,4 @@
-//! Rate-limited backend servers: hearing the limits that they name, and telling others of them.
+//! Rate limits of backend servers: reads them from responses and exchanges them with other hosts.
 
 use {
     super::shared::RelayParts,
@@ -7,12 +7,12 @@
         relay::{
             backend::BackendInfo,
             policy::{
-                findings_cache::{CachePosition, CacheUpdates, MarkSource},
-                limit_book::LimitSaying,
+                findings_cache::{CachePosition, CacheUpdates, FindingSource},
+                limit_tracker::ReportedLimit,
                 limit_updates::{LimitUpdate, LimitUpdates},
                 loads::EngineKey,
                 permit_allocator::PermitRequest,
-                server_limit::{LimitMark, ServerLimit},
+                server_limit::{LimitSignal, ServerLimit},
             },
         },
     },
@@ -27,20 +27,20 @@
     },
 };
 
-/// Lines that are logged of limits that were told at once.
-const SHOWN_MOST: usize = 16;
+/// Maximum number of log lines for limits that arrive in one update.
+const LOGGED_LIMITS_MAX: usize = 16;
 
-/// Which answer names or does not name a limit.
+/// The kind of response that states or omits a limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerKind {
-    /// That of a request that ran well: one that names no limit says that there is none.
+    /// The response to a request that ran successfully: if it states no limit, the server has none.
     GoodRun,
-    /// Any other, also to a call of our own: it only tells a limit that it names.
+    /// Any other response, including those to calls of this host: it has no meaning if it states no limit.
     Other,
 }
 
 impl AnswerKind {
-    /// The kind of an answer to a request, by its status and whether it says that the request did not run.
+    /// Returns the kind of a response, by its status and whether it says that the request did not run.
     pub fn of(status: StatusCode, not_run: bool) -> Self {
         match status.is_success() && !not_run {
             true => Self::GoodRun,
@@ -49,37 +49,37 @@
     }
 }
 
-/// What hosts tell each other of rate-limited servers.
+/// The limits of rate-limited servers that hosts exchange.
 #[derive(Debug)]
 pub struct LimitExchange {
-    news: RefCell<LimitUpdates>,
-    // Up to where others told this host.
-    told: RefCell<HashMap<SocketAddr, CachePosition>>,
+    updates: RefCell<LimitUpdates>,
+    // Position up to which this host has received the updates of each other host, by its address.
+    received: RefCell<HashMap<SocketAddr, CachePosition>>,
 }
 
 impl LimitExchange {
-    /// Nothing is known; `id` is drawn at random.
+    /// Creates an empty exchange; `id` is random.
     pub(super) fn new(id: u64) -> Self {
         Self {
-            news: RefCell::new(LimitUpdates::new(id)),
-            told: RefCell::default(),
+            updates: RefCell::new(LimitUpdates::new(id)),
+            received: RefCell::default(),
         }
     }
 
-    /// Up to where this host was told the book of the host at an address.
-    pub fn place_at(&self, address: SocketAddr) -> CachePosition {
-        let told = self.told.borrow();
-        told.get(&address).copied().unwrap_or_default()
+    /// Returns the position up to which this host has received the limits of the host at an address.
+    pub fn received_position(&self, address: SocketAddr) -> CachePosition {
+        let received = self.received.borrow();
+        received.get(&address).copied().unwrap_or_default()
     }
 
-    // Forgets what hosts told that are listed no longer.
-    pub(super) fn keep_told(&self, is_listed: impl Fn(&SocketAddr) -> bool) {
-        let mut told = self.told.borrow_mut();
-        told.retain(|address, _| is_listed(address));
+    // Removes the positions of hosts that are no longer listed.
+    pub(super) fn retain_listed(&self, is_listed: impl Fn(&SocketAddr) -> bool) {
+        let mut received = self.received.borrow_mut();
+        received.retain(|address, _| is_listed(address));
     }
 }
 
-// How a limit is shown to operators.
+// Displays a limit in log lines and on pages for operators.
 struct ShownLimit(Option<ServerLimit>);
 
 impl fmt::Display for ShownLimit {
@@ -92,39 +92,39 @@
 }
 
 impl RelayParts {
-    /// Takes what an answer of a backend server says of its limit; the request was sent at `sent`.
+    /// Applies what a backend server's response states about its limit. `sent` is when the request was sent.
     pub fn note_limit(
         &self,
         backend: &BackendInfo,
-        mark: LimitMark,
+        mark: LimitSignal,
         kind: AnswerKind,
         sent: Duration,
     ) {
         let limit = match (mark, kind) {
-            (LimitMark::Named(limit), _) => Some(limit),
-            (LimitMark::Unreadable, _) => return self.note_unreadable_limit(backend),
-            (LimitMark::Unsaid, AnswerKind::GoodRun) => None,
-            (LimitMark::Unsaid, AnswerKind::Other) => return,
+            (LimitSignal::Limited(limit), _) => Some(limit),
+            (LimitSignal::Invalid, _) => return self.note_unreadable_limit(backend),
+            (LimitSignal::Absent, AnswerKind::GoodRun) => None,
+            (LimitSignal::Absent, AnswerKind::Other) => return,
         };
         let age = self.now().saturating_sub(sent);
-        let saying = LimitSaying::told(limit, age, self.now());
-        let was_limited = self.take_limit(backend, saying, "answer");
+        let saying = ReportedLimit::from_age(limit, age, self.now());
+        let was_limited = self.apply_limit(backend, saying, "answer");
         if was_limited && limit.is_none() {
-            self.tell_end(backend, saying);
+            self.report_limit_end(backend, saying);
         }
     }
 
-    // Counted for all, logged for those who look: a server could fill the log with it.
+    // Counted in a metric, but logged at debug level only: a faulty server could fill the log.
     fn note_unreadable_limit(&self, backend: &BackendInfo) {
         self.metrics.unreadable_limits.inc();
-        log::debug!("{} names a limit that is none", backend.id);
+        log::debug!("{}: unreadable rate limit", backend.id);
     }
 
-    // Gives whether the server was believed to be rate-limited.
-    pub(super) fn take_limit(
+    // Records a limit; returns whether the server was known to be rate-limited before.
+    pub(super) fn apply_limit(
         &self,
         backend: &BackendInfo,
-        saying: LimitSaying,
+        saying: ReportedLimit,
         from: &str,
     ) -> bool {
         let now = self.now();
@@ -136,30 +136,30 @@
         if !was_limited && saying.limit.is_none() {
             return false;
         }
-        let shown = book.limits.take(backend.key(), saying, now);
+        let before = book.limits.update(backend.key(), saying, now);
         drop(book);
-        self.note_for_others(backend, saying);
+        self.announce_limit(backend, saying);
         if !was_limited {
-            self.mark_own(backend);
+            self.update_ownership(backend);
         }
-        if let Some(before) = shown {
-            self.show_limit(backend, saying, before, from);
+        if let Some(before) = before {
+            self.log_limit(backend, saying, before, from);
         }
         was_limited
     }
 
-    fn note_for_others(&self, backend: &BackendInfo, saying: LimitSaying) {
-        let mut news = self.limits.news.borrow_mut();
-        if news.note(backend.key(), saying, MarkSource::Reported, self.now()) {
-            self.reported.notify_one();
-            self.news.notify_waiters();
+    fn announce_limit(&self, backend: &BackendInfo, saying: ReportedLimit) {
+        let mut updates = self.limits.updates.borrow_mut();
+        if updates.record(backend.key(), saying, FindingSource::Reported, self.now()) {
+            self.findings_changed.notify_one();
+            self.state_changed.notify_waiters();
         }
     }
 
-    fn show_limit(
+    fn log_limit(
         &self,
         backend: &BackendInfo,
-        saying: LimitSaying,
+        saying: ReportedLimit,
         before: Option<ServerLimit>,
         from: &str,
     ) {
@@ -177,105 +177,125 @@
         );
     }
 
-    // Whoever allocates the permits there hears it from this host only if it asks, which it has no reason to do any more.
-    fn tell_end(&self, backend: &BackendInfo, saying: LimitSaying) {
+    // Tells the host that allocates the permits for a server that the server's limit has ended. That host would otherwise
+    // learn it only with the next permit request, which this host has no reason to send any more.
+    fn report_limit_end(&self, backend: &BackendInfo, saying: ReportedLimit) {
         let Some(call) = self.permits.call() else {
             return;
         };
-        let telling = call(
+        let report = call(
             backend.zone.clone(),
             PermitRequest {
                 server: backend.key(),
-                saying,
+                reported: saying,
                 wanted: 0,
                 rank: u8::MAX,
             },
         );
         tokio::task::spawn_local(async move {
-            telling.await;
+            report.await;
         });
     }
 
-    // Whether this host allocates the permits at a server is asked for each request: it is worked out when that may change.
-    fn mark_own(&self, backend: &BackendInfo) {
-        let owner = self.owner(&backend.zone, backend.key());
+    // Caches whether this host allocates the permits for a server, because each request needs it. Recomputed when it may have
+    // changed.
+    fn update_ownership(&self, backend: &BackendInfo) {
+        let owner = self.permit_owner(&backend.zone, backend.key());
         let is_own = owner.is_some_and(|owner| owner.name == self.settings.name);
         let mut book = self.book.borrow_mut();
         book.limits.set_own(backend.key(), is_own);
     }
 
-    /// The backend servers or the hosts are others than before.
-    pub fn mark_all_own(&self) {
+    /// Recomputes for which servers this host allocates the permits, after a change of the backend servers or hosts.
+    pub fn update_all_ownership(&self) {
         let limits = self.book.borrow().limits.servers();
         if limits.is_empty() {
             return;
         }
         let listed = self.book.borrow().listed(&limits.into_iter().collect());
-        listed.iter().for_each(|backend| self.mark_own(backend));
+        listed
+            .iter()
+            .for_each(|backend| self.update_ownership(backend));
     }
 
-    /// Takes what another host told of rate-limited servers.
-    pub fn take_limits(&self, marks: &[LimitUpdate], source: MarkSource) {
+    /// Applies limits that another host sent.
+    pub fn apply_limits(&self, marks: &[LimitUpdate], source: FindingSource) {
         let now = self.now();
-        let mut shown = BTreeMap::new();
-        let mut has_news = false;
+        let mut changed = BTreeMap::new();
+        let mut has_updates = false;
         for mark in marks {
-            let saying = LimitSaying::told(mark.limit, mark.age, now);
-            let taken = self.book.borrow_mut().limits.take(mark.server, saying, now);
+            let saying = ReportedLimit::from_age(mark.limit, mark.age, now);
+            let taken = self
+                .book
+                .borrow_mut()
+                .limits
+                .update(mark.server, saying, now);
             if let Some(before) = taken {
-                shown.insert(mark.server, (saying, before));
+                changed.insert(mark.server, (saying, before));
             }
-            let mut news = self.limits.news.borrow_mut();
-            has_news |= news.note(mark.server, saying, source, now);
+            let mut updates = self.limits.updates.borrow_mut();
+            has_updates |= updates.record(mark.server, saying, source, now);
         }
-        self.show_told(&shown);
-        if has_news {
-            self.mark_all_own();
+        self.log_limit_changes(&changed);
+        if has_updates {
+            self.update_all_ownership();
         }
-        if !has_news {
+        if !has_updates {
             return;
         }
-        if source == MarkSource::Reported {
-            self.reported.notify_one();
+        if source == FindingSource::Reported {
+            self.findings_changed.notify_one();
         }
-        self.news.notify_waiters();
+        self.state_changed.notify_waiters();
     }
 
-    // One line each, but for many at once.
-    fn show_told(&self, shown: &BTreeMap<EngineKey, (LimitSaying, Option<ServerLimit>)>) {
-        let listed = match shown.is_empty() {
+    // Logs changed limits, one line each up to a maximum.
+    fn log_limit_changes(
+        &self,
+        changed: &BTreeMap<EngineKey, (ReportedLimit, Option<ServerLimit>)>,
+    ) {
+        let listed = match changed.is_empty() {
             true => return,
-            false => self.book.borrow().listed(&shown.keys().copied().collect()),
+            false => self
+                .book
+                .borrow()
+                .listed(&changed.keys().copied().collect()),
         };
-        for backend in listed.iter().take(SHOWN_MOST) {
-            let (saying, before) = shown[&backend.key()];
-            self.show_limit(backend, saying, before, "news");
+        for backend in listed.iter().take(LOGGED_LIMITS_MAX) {
+            let (saying, before) = changed[&backend.key()];
+            self.log_limit(backend, saying, before, "news");
         }
-        let more = listed.len().saturating_sub(SHOWN_MOST);
+        let more = listed.len().saturating_sub(LOGGED_LIMITS_MAX);
         if more > 0 {
-            log::info!("limits of {more} more servers were told at once");
+            log::info!("limits of {more} more servers changed in the same update");
         }
     }
 
-    /// Takes what the host at an address told of rate-limited servers with its news.
-    pub fn take_limit_updates(&self, news: &CacheUpdates<LimitUpdate>, from: SocketAddr) {
-        self.take_limits(&news.marks, MarkSource::Told);
-        if news.place.book != 0 {
-            self.limits.told.borrow_mut().insert(from, news.place);
+    /// Applies the limits that the host at an address sent in an update.
+    pub fn apply_limit_updates(&self, news: &CacheUpdates<LimitUpdate>, from: SocketAddr) {
+        self.apply_limits(&news.findings, FindingSource::Distributed);
+        if news.position.cache_id != 0 {
+            self.limits
+                .received
+                .borrow_mut()
+                .insert(from, news.position);
         }
     }
 
-    /// What an asker lacks that all hosts are to know of rate-limited servers.
+    /// Returns the limits for all hosts that a peer lacks.
     pub fn limit_updates(&self, known: CachePosition) -> CacheUpdates<LimitUpdate> {
-        self.limits.news.borrow().since(known, self.now())
+        self.limits.updates.borrow().since(known, self.now())
     }
 
-    /// What another host is to hear of this one of rate-limited servers, after a revision; and the revision to which that goes.
+    /// Returns the limits to report to another host that changed after a revision, and the revision that they reach.
     pub fn limits_to_report(&self, since: Option<u64>) -> (Vec<LimitUpdate>, u64) {
-        self.limits.news.borrow().reported_since(since, self.now())
+        self.limits
+            .updates
+            .borrow()
+            .reported_since(since, self.now())
     }
 
-    /// The rate-limited servers as a page for operators: one line each.
+    /// Returns a page for operators with one line for each rate-limited server.
     pub fn limits_page(&self) -> String {
         let servers = self.book.borrow().limits.servers();
         let listed = self.book.borrow().listed(&servers.into_iter().collect());
@@ -289,7 +309,7 @@
         let limit = ShownLimit(book.limits.limit(server));
         let age = book.limits.age(server, now).as_millis();
         let held = book.limits.held(server, now);
-        let owner = self.owner(&backend.zone, server);
+        let owner = self.permit_owner(&backend.zone, server);
         let owner = owner.map_or_else(FastStr::default, |owner| owner.name);
         format!(
             "backend={} service={} zone={} limit={limit} age_ms={age} owner={owner:?} permits_held={held}\n",
@@ -297,15 +317,18 @@
         )
     }
 
-    /// Forgets limits that nobody has heard renewed for long, and permits that nobody asks for.
-    pub fn forget_limits(&self) {
+    /// Removes limits that no response has confirmed for a long time, and permits that are no longer requested.
+    pub fn evict_limits(&self) {
         let cluster = self.cluster.borrow();
         let is_listed = |name: &FastStr| cluster.hosts().any(|entry| entry.name == *name);
         self.permits.forget_old(is_listed, self.now());
-        let gone = self.book.borrow_mut().limits.forget_old(self.now());
-        self.limits.news.borrow_mut().forget_old(self.now());
+        let gone = self.book.borrow_mut().limits.remove_expired(self.now());
+        self.limits.updates.borrow_mut().remove_expired(self.now());
         if !gone.is_empty() {
-            log::info!("{} limits of servers were not heard for long", gone.len());
+            log::info!(
+                "removed {} server limits that no response has confirmed for a long time",
+                gone.len()
+            );
         }
     }
 }
--- a/src/relay/parts/shares.rs
+++ b/src/relay/parts/shares.rs
@@ -1,4 +1,4 @@
-//! This host's shares of what all hosts have together: repeats of requests, and connections to backend servers.
+//! This host's shares of budgets that all hosts divide among them: retries, and connections to backend servers.
 
 use {
     super::shared::RelayParts,
@@ -7,9 +7,9 @@
         relay::{
             backend::BackendInfo,
             policy::{
-                book::OTHERS_LIFE,
-                budget::{DemandCounts, FleetDemand, RetryAllowance, WindowBudget},
+                budget::{FleetDemand, RetryBudget, RetryCounts, RetryWindow},
                 loads::{EngineKey, LoadReport, ServiceDemand},
+                registry::PEER_LOAD_TTL,
             },
         },
         web::{PoolTarget, PoolUse},
@@ -18,37 +18,38 @@
     std::time::Duration,
 };
 
-/// Part of the connections that a backend server accepts from all hosts together that they share out: hosts
-/// hear late of each other's demand, and those that come and go count for a while.
-const CONNECTIONS_PART: f64 = 0.85;
+/// Fraction of a backend server's connection limit that the hosts divide among them. The rest is headroom: hosts learn of
+/// each other's demand with a delay, and hosts that leave still count for a while.
+const SHARED_CONNECTIONS_PART: f64 = 0.85;
 
-/// Connections that a host may always have to a backend server: many hosts have a share of less than one, and
-/// few of them need it at the same time.
-const CONNECTIONS_LEAST: usize = 4;
+/// Minimum number of connections that a host may open to a backend server. With many hosts, the share of each is below
+/// one, and few of them need a connection at the same time.
+const CONNECTIONS_MIN: usize = 4;
 
-/// Repeats in a window, beyond the share of its requests, of a host that does not know among how many the
-/// allowance is to be shared out: enough for one or two. Operators allow at least two for each host.
-const EXTRA_UNKNOWN: f64 = 3.0;
+/// Retries per window, in addition to the fraction of its requests, for a host that does not know how many hosts share the
+/// budget: enough for one or two. Operators configure at least two for each host.
+const UNKNOWN_FLEET_EXTRA: f64 = 3.0;
 
-/// Engines of which this host asks to be told at most: four bytes each in a report, eight in its answer.
-const WANTED_MOST: usize = 32;
+/// Maximum number of engines whose load this host requests from others: each takes four bytes in a report and eight in
+/// its response.
+const WANTED_ENGINES_MAX: usize = 32;
 
-/// What all other hosts together count by service, as they last told.
+/// Total demand of all other hosts by service, as last reported.
 #[derive(Debug, Default)]
 pub(super) struct OthersDemand {
     demands: Vec<ServiceDemand>,
-    told: Duration,
+    reported_at: Duration,
 }
 
 impl OthersDemand {
-    // None where it was told too long ago.
-    fn of(&self, service: &str, now: Duration) -> Option<DemandCounts> {
+    // `None` if there is no recent report.
+    fn of(&self, service: &str, now: Duration) -> Option<RetryCounts> {
         let mut recent = self.demands.iter();
         let known = recent.find(|demand| demand.service == service)?;
-        let is_recent = now.saturating_sub(self.told) < OTHERS_LIFE;
-        is_recent.then_some(DemandCounts {
+        let is_recent = now.saturating_sub(self.reported_at) < PEER_LOAD_TTL;
+        is_recent.then_some(RetryCounts {
             requests: known.requests,
-            repeats: known.repeats,
+            retries: known.retries,
         })
     }
 }
@@ -60,28 +61,29 @@
         let mut budgets = self.budgets.borrow_mut();
         let window = self.allowance().window;
         let budget = budgets.entry(service.clone()).or_default();
-        budget.earn(window, now);
+        budget.count_request(window, now);
     }
 
-    /// Whether a request for any service has come yet.
-    pub fn has_served(&self) -> bool {
+    /// Returns whether this host has received a request for any service.
+    pub fn has_received_requests(&self) -> bool {
         !self.budgets.borrow().is_empty()
     }
 
-    /// Whether one repeat more may be sent to a service; if so, it is counted.
-    pub fn spend_repeat(&self, service: &FastStr) -> bool {
-        self.spend(service, WindowBudget::allows)
+    /// Counts a retry of a request to a service if the retry budget allows one; returns whether it does.
+    pub fn spend_retry(&self, service: &FastStr) -> bool {
+        self.spend(service, RetryWindow::allows_retry)
     }
 
-    /// The same for a repeat without which part of an answer is lost that its caller has already.
-    pub fn spend_dear_repeat(&self, service: &FastStr) -> bool {
-        self.spend(service, WindowBudget::may_risk)
+    /// Like `spend_retry`, for the retry of a request whose caller already has part of the response and would lose it
+    /// otherwise.
+    pub fn spend_costly_retry(&self, service: &FastStr) -> bool {
+        self.spend(service, RetryWindow::allows_speculative)
     }
 
     fn spend(
         &self,
         service: &FastStr,
-        allows: fn(&mut WindowBudget, RetryAllowance, &FleetDemand, Duration) -> bool,
+        allows: fn(&mut RetryWindow, RetryBudget, &FleetDemand, Duration) -> bool,
     ) -> bool {
         let now = self.now();
         let fleet = self.fleet_demand(service);
@@ -89,42 +91,42 @@
         let budget = budgets.entry(service.clone()).or_default();
         let allowed = allows(budget, self.allowance(), &fleet, now);
         if allowed {
-            budget.count(now);
+            budget.count_retry(now);
             self.metrics.repeats.inc();
         }
         allowed
     }
 
-    /// Whether a send may be made that counts as a repeat if it fails.
-    pub fn may_risk_repeat(&self, service: &FastStr) -> bool {
+    /// Returns whether the retry budget allows an attempt that counts as a retry if it fails.
+    pub fn may_risk_retry(&self, service: &FastStr) -> bool {
         let now = self.now();
         let fleet = self.fleet_demand(service);
         let mut budgets = self.budgets.borrow_mut();
         let budget = budgets.entry(service.clone()).or_default();
-        budget.may_risk(self.allowance(), &fleet, now)
+        budget.allows_speculative(self.allowance(), &fleet, now)
     }
 
-    /// Counts a repeat that was sent already: a prefill that an engine did not do.
-    pub fn count_repeat(&self, service: &FastStr) {
+    /// Counts a retry that was sent already: a prefill that an engine did not run.
+    pub fn count_retry(&self, service: &FastStr) {
         let now = self.now();
         let mut budgets = self.budgets.borrow_mut();
-        budgets.entry(service.clone()).or_default().count(now);
+        budgets.entry(service.clone()).or_default().count_retry(now);
         self.metrics.repeats.inc();
     }
 
-    // A host that knows no hosts yet, not even itself, is one of an unknown number: after the loss of all of
-    // them each would take the whole allowance for its own.
-    fn allowance(&self) -> RetryAllowance {
+    // A host that has no list of hosts yet, which would include itself, reduces its budget: after all hosts are lost,
+    // each restarted one would otherwise use the budget of the whole fleet.
+    fn allowance(&self) -> RetryBudget {
         let whole = self.settings.bounds.retries;
         let is_known = self.cluster.borrow().hosts().next().is_some();
         let extra = match is_known {
             true => whole.extra,
-            false => whole.extra.min(EXTRA_UNKNOWN),
+            false => whole.extra.min(UNKNOWN_FLEET_EXTRA),
         };
-        RetryAllowance { extra, ..whole }
+        RetryBudget { extra, ..whole }
     }
 
-    /// Where a request to a backend server goes, and this host's share of the connections there.
+    /// Returns the address for a request to a backend server, with this host's share of its connections as the limit.
     pub fn pool_target(&self, backend: &BackendInfo, purpose: PoolUse) -> PoolTarget {
         PoolTarget {
             address: backend.address,
@@ -135,8 +137,8 @@
         }
     }
 
-    // None where it is not bounded. At engines it is memory that bounds what runs: a prompt that is computed
-    // already is not to be lost for want of a connection.
+    // `None` if there is no limit. Engines limit concurrency by memory: a prompt that is already computed must not be lost
+    // because no connection is free.
     fn connection_share(&self, name: &FastStr) -> Option<usize> {
         let routes = self.routes()?;
         let service = routes.config().service(name)?;
@@ -144,8 +146,8 @@
             return None;
         }
         let share = self.fleet_demand(name).share(self.own_requests(name));
-        let whole = f64::from(service.connection_limit?) * CONNECTIONS_PART;
-        Some(((whole * share) as usize).max(CONNECTIONS_LEAST))
+        let whole = f64::from(service.connection_limit?) * SHARED_CONNECTIONS_PART;
+        Some(((whole * share) as usize).max(CONNECTIONS_MIN))
     }
 
     fn own_requests(&self, service: &FastStr) -> u64 {
@@ -156,16 +158,16 @@
         budget.map_or(0, |budget| budget.counts(window, now).requests)
     }
 
-    /// What is known of the demand of all hosts for a service.
+    /// Returns the known demand of all hosts for a service.
     pub fn fleet_demand(&self, service: &str) -> FleetDemand {
         FleetDemand {
             hosts: self.cluster.borrow().host_count(),
-            others: self.others.borrow().of(service, self.now()),
+            others: self.others_demand.borrow().of(service, self.now()),
         }
     }
 
-    /// What this host tells others of its requests.
-    pub fn own_report(&self) -> LoadReport {
+    /// Returns the report of this host's load for other hosts.
+    pub fn load_report(&self) -> LoadReport {
         let now = self.now();
         let window = self.settings.bounds.retries.window;
         let mut budgets = self.budgets.borrow_mut();
@@ -174,36 +176,37 @@
             ServiceDemand {
                 service: service.clone(),
                 requests: counts.requests,
-                repeats: counts.repeats,
+                retries: counts.retries,
             }
         });
         LoadReport {
             loads: self.book.borrow().loads(now),
             demands: demands.collect(),
-            wanted: self.wanted_keys(),
+            requested: self.wanted_keys(),
             accounts: UseReport {
-                uses: self.untold_uses(),
+                uses: self.take_unreported_uses(),
                 ..UseReport::default()
             },
             is_store_lost: false,
         }
     }
 
-    // Where there are few hosts all engines are worked with, and the fullest of them are told anyway.
+    // With few hosts, every engine is preferred; the list may be cut because the load of the fullest engines is reported in
+    // any case.
     fn wanted_keys(&self) -> Vec<EngineKey> {
         let mut keys = self.book.borrow().preferred_keys();
-        keys.truncate(WANTED_MOST);
+        keys.truncate(WANTED_ENGINES_MAX);
         keys
     }
 
-    /// Takes what all other hosts tell together.
-    pub fn take_others(&self, report: LoadReport) {
+    /// Applies the combined report of all other hosts.
+    pub fn apply_fleet_report(&self, report: LoadReport) {
         let now = self.now();
-        self.take_near(&report.accounts);
-        self.book.borrow_mut().set_others(&report.loads, now);
-        *self.others.borrow_mut() = OthersDemand {
+        self.apply_use_report(&report.accounts);
+        self.book.borrow_mut().set_peer_loads(&report.loads, now);
+        *self.others_demand.borrow_mut() = OthersDemand {
             demands: report.demands,
-            told: now,
+            reported_at: now,
         };
     }
 }
--- a/src/relay/request/decode.rs
+++ b/src/relay/request/decode.rs
@@ -53,7 +53,7 @@
             Ok(response) => return Ok(response),
             Err(failure) => failure,
         };
-        parts.note_send_failure(engine, &failure);
+        parts.record_send_failure(engine, &failure);
         if failure.is_break() {
             guard.await_end_check(&self.request).await;
         }
@@ -74,7 +74,7 @@
         guard.record_response(response.status, &marks);
         if marks.is_for_other_request(&self.request.marks.id) {
             let detail = "an answer to another request";
-            parts.note_failure(engine, BackendFailure::Broken, detail);
+            parts.record_failure(engine, BackendFailure::Broken, detail);
             let detail = format!("decode at {}: {detail}", engine.id);
             return Err(RoundFailure::new(RunVerdict::MayHaveRun, detail));
         }
@@ -85,7 +85,7 @@
             cache.mark_transferred();
         }
         let is_good = !response.status.is_server_error();
-        parts.book.borrow_mut().answered(&engine.id, is_good);
+        parts.book.borrow_mut().note_response(&engine.id, is_good);
         Ok(response)
     }
 
@@ -98,12 +98,15 @@
         response: PooledAnswer,
     ) -> RoundFailure {
         let status = response.status;
-        self.parts.note_decline(engine, status);
+        self.parts.record_decline(engine, status);
         // An engine that asks for a backoff declined because of its own state, not because of the KV cache.
         if self.parts.may_send(engine, None) {
             let at_fault = cache.as_ref().map_or(engine, |cache| &cache.engine);
             let now = self.parts.now();
-            self.parts.book.borrow_mut().declined(&at_fault.id, now);
+            self.parts
+                .book
+                .borrow_mut()
+                .note_declined(&at_fault.id, now);
             self.skip_prefill = cache.is_some();
         }
         // The body is read to its end so that the connection can be reused.
--- a/src/relay/request/guard.rs
+++ b/src/relay/request/guard.rs
@@ -36,7 +36,7 @@
         let call_id = parts
             .book
             .borrow_mut()
-            .call_began(&backend.id, is_crash_suspect, now);
+            .call_started(&backend.id, is_crash_suspect, now);
         Self {
             parts: parts.clone(),
             backend: Box::new(backend.clone()),
@@ -50,7 +50,7 @@
     pub(super) fn record_response(&self, status: StatusCode, marks: &ResponseMetadata) {
         let kind = AnswerKind::of(status, marks.not_run);
         let parts = &self.parts;
-        parts.note_marks(&self.backend, &marks.server, kind, self.sent_at);
+        parts.apply_server_marks(&self.backend, &marks.server, kind, self.sent_at);
     }
 
     /// Checks whether the backend server ended, after the connection of a request that ran or may have run was lost.
@@ -75,7 +75,7 @@
     /// Records how the forwarded response ended.
     pub(super) fn record_end(&self, request: &ClientRequest, end: StreamEnd) {
         match end {
-            StreamEnd::Complete => self.parts.note_good_run(|| request.digest()),
+            StreamEnd::Complete => self.parts.record_success(|| request.digest()),
             StreamEnd::Broken => drop(self.spawn_end_check(request)),
             StreamEnd::TimeLimit => {}
         }
@@ -127,7 +127,7 @@
     async fn check_end(self, parts: Rc<RelayParts>) {
         if parts.has_ended(&self.backend).await {
             parts.metrics.ended_under(&self.backend.service);
-            parts.note_end(self.digest, &self.backend);
+            parts.record_crash(self.digest, &self.backend);
             self.log_end();
         }
     }
--- a/src/relay/request/handler.rs
+++ b/src/relay/request/handler.rs
@@ -103,7 +103,7 @@
     if let (Err(refusal), Some(account), Some(charge)) = (&response, account, charge)
         && refusal.verdict == RunVerdict::NotRun
     {
-        parts.give_back(&account.name, charge);
+        parts.refund(&account.name, charge);
     }
     // Counts as in progress until the client has received the last byte.
     Ok(response?.map(|body| response::guarded_body(body, entry)))
@@ -116,7 +116,7 @@
     };
     let tokens = request.marks.prompt_tokens + request.marks.answer_limit;
     let target = request.route.latency_target;
-    parts.let_in(account, tokens, target).await
+    parts.admit(account, tokens, target).await
 }
 
 // Estimates how long the client waited in earlier tries from the time that it has left.
@@ -124,8 +124,8 @@
     let Some(left) = request.marks.time_left else {
         return request;
     };
-    let mut waits = parts.waits.borrow_mut();
-    let prior_wait = waits.waited(&request.route.name, left);
+    let mut waits = parts.caller_waits.borrow_mut();
+    let prior_wait = waits.observe(&request.route.name, left);
     request.with_prior_wait(prior_wait)
 }
 
--- a/src/relay/request/plain.rs
+++ b/src/relay/request/plain.rs
@@ -16,8 +16,8 @@
             backend::BackendInfo,
             parts::{permits::ServerPermit, shared::RelayParts},
             policy::{
-                book::{PlainChoice, SendWish},
-                limit_book::PermitWait,
+                limit_tracker::PermitWait,
+                registry::{PlainChoice, SendConstraints},
                 view::BackendFailure,
             },
         },
@@ -198,7 +198,7 @@
             self.log_attempt(&backend, "silent");
             let detail = "no answer within the time limit";
             self.parts
-                .note_failure(&backend, BackendFailure::Silent, detail);
+                .record_failure(&backend, BackendFailure::Silent, detail);
             self.verdict = self.verdict.max(RunVerdict::MayHaveRun);
             self.detail = format!("{}: {detail}", backend.id);
         }
@@ -215,10 +215,10 @@
             return false;
         };
         let is_retry = self.has_reached_server || !self.pending.is_empty();
-        if is_retry && !self.parts.spend_repeat(&self.service) {
+        if is_retry && !self.parts.spend_retry(&self.service) {
             return false;
         }
-        permit.use_up();
+        permit.consume();
         self.tried.push(backend.id.clone());
         self.pending.push(backend.clone());
         self.sends += 1;
@@ -233,7 +233,7 @@
     // Chooses the best server not tried yet and takes its permit if it is rate-limited. After `MAX_PERMIT_REQUESTS` servers
     // without a permit only those without a rate limit are considered, which the others must not keep from being used.
     async fn next_server(&mut self, is_hedge: bool) -> Option<(BackendInfo, ServerPermit)> {
-        let rank = self.request.priority();
+        let priority = self.request.priority();
         for asked in 0..=MAX_PERMIT_REQUESTS {
             let checked =
                 send_check::check_send(&self.parts, &self.request, &self.service, self.verdict);
@@ -241,12 +241,12 @@
                 self.final_refusal = Some(refusal);
                 return None;
             }
-            let needs_no_permit = is_hedge || asked == MAX_PERMIT_REQUESTS;
-            let backend = self.choose(SendWish {
-                rank,
-                needs_no_permit,
+            let unlimited_only = is_hedge || asked == MAX_PERMIT_REQUESTS;
+            let backend = self.choose(SendConstraints {
+                priority,
+                unlimited_only,
             })?;
-            match self.parts.take_permit(&backend, rank).await {
+            match self.parts.acquire_permit(&backend, priority).await {
                 Ok(permit) if self.parts.may_send(&backend, None) => {
                     return Some((backend, permit));
                 }
@@ -258,11 +258,11 @@
         None
     }
 
-    fn choose(&mut self, wish: SendWish) -> Option<BackendInfo> {
+    fn choose(&mut self, constraints: SendConstraints) -> Option<BackendInfo> {
         let now = self.parts.now();
         let zone = &self.parts.settings.zone;
         let book = self.parts.book.borrow();
-        let choice = book.choose_plain(&self.service, zone, &self.tried, wish, now);
+        let choice = book.choose_plain(&self.service, zone, &self.tried, constraints, now);
         drop(book);
         match choice {
             PlainChoice::Send(backend) => return Some(backend),
@@ -317,9 +317,12 @@
             SendOutcome::Responded(response) => {
                 self.log_attempt(backend, response.status.as_str());
                 let is_good = !response.status.is_server_error();
-                self.parts.book.borrow_mut().answered(&backend.id, is_good);
+                self.parts
+                    .book
+                    .borrow_mut()
+                    .note_response(&backend.id, is_good);
                 if is_good && matches!(response.body, PlainBody::Full(_)) {
-                    self.parts.note_good_run(|| self.request.digest());
+                    self.parts.record_success(|| self.request.digest());
                 }
                 if is_good || !self.request.route.kind.is_repeatable() {
                     return Some(*response);
--- a/src/relay/request/prefill.rs
+++ b/src/relay/request/prefill.rs
@@ -50,7 +50,9 @@
     fn drop(&mut self) {
         if let Some(cache) = self.cache.take() {
             let call = (self.parts.dialect.engines.free_cache)(&cache.handle);
-            self.parts.clone().call_later(self.engine.clone(), call);
+            self.parts
+                .clone()
+                .call_in_background(self.engine.clone(), call);
         }
     }
 }
@@ -77,7 +79,7 @@
 
 impl PrefillLoad {
     fn begin(parts: &Rc<RelayParts>, engine: &BackendInfo, tokens: u64) -> Self {
-        parts.book.borrow_mut().prefill_began(&engine.id, tokens);
+        parts.book.borrow_mut().prefill_started(&engine.id, tokens);
         Self {
             parts: parts.clone(),
             engine: engine.clone(),
@@ -140,21 +142,21 @@
                 verdict: RunVerdict::MayHaveRun,
                 received: true,
                 kind: BackendFailure::Silent,
-                detail: "no response in time".into(),
+                detail: "no answer in time".into(),
             })
         });
     match &result {
         Ok(cache) => {
             let now = parts.now();
             let mut book = parts.book.borrow_mut();
-            book.answered(&engine.id, true);
+            book.note_response(&engine.id, true);
             parts
                 .metrics
                 .computed(&request.route, now.saturating_sub(started));
             book.prefill_observed(&engine.id, cache.tokens, now.saturating_sub(started), now);
         }
         Err(failure) if failure.verdict != RunVerdict::NotRun => {
-            parts.note_failure(&engine, failure.kind, &failure.detail);
+            parts.record_failure(&engine, failure.kind, &failure.detail);
             if failure.kind == BackendFailure::Broken {
                 guard.await_end_check(request).await;
             }
@@ -182,7 +184,7 @@
         .await;
     let response = sent.map_err(|failure| {
         if failure.verdict == RunVerdict::NotRun {
-            parts.note_send_failure(engine, &failure);
+            parts.record_send_failure(engine, &failure);
         }
         PrefillFailure {
             verdict: failure.verdict,
@@ -205,10 +207,13 @@
         detail,
     })?;
     if marks.not_run {
-        parts.note_decline(engine, status);
+        parts.record_decline(engine, status);
         // A decline during a backoff says nothing about the time after it.
         if parts.may_send(engine, None) {
-            parts.book.borrow_mut().declined(&engine.id, parts.now());
+            parts
+                .book
+                .borrow_mut()
+                .note_declined(&engine.id, parts.now());
         }
         return Err(PrefillFailure {
             verdict: RunVerdict::NotRun,
@@ -224,6 +229,6 @@
         verdict: RunVerdict::MayHaveRun,
         received: true,
         kind: BackendFailure::Broken,
-        detail: format!("unusable response with status {status}"),
+        detail: format!("unusable answer, status {status}"),
     })
 }
--- a/src/relay/request/reserve.rs
+++ b/src/relay/request/reserve.rs
@@ -10,10 +10,10 @@
             config::EngineLimits,
             parts::{permits::ServerPermit, shared::RelayParts},
             policy::{
-                admission::{self, LineEntrant},
-                kept::KeptAt,
-                line::LineKey,
-                room::DecodeRoom,
+                admission::{self, QueuedRequest},
+                decode_exclusions::DecodeExclusions,
+                prompt_cache::CachedAt,
+                wait_queue::QueueKey,
             },
         },
     },
@@ -52,7 +52,9 @@
     fn drop(&mut self) {
         if let Some(name) = self.name.take() {
             let call = (self.parts.dialect.engines.release_memory)(&name);
-            self.parts.clone().call_later(self.engine.clone(), call);
+            self.parts
+                .clone()
+                .call_in_background(self.engine.clone(), call);
         }
     }
 }
@@ -74,8 +76,8 @@
     fn new(reservation: EngineReservation, permit: ServerPermit, tokens: u64) -> Self {
         let (parts, engine) = (reservation.parts.clone(), reservation.engine.clone());
         let mut book = parts.book.borrow_mut();
-        book.answered(&engine.id, true);
-        book.memory_taken(&engine.id, tokens);
+        book.note_response(&engine.id, true);
+        book.memory_reserved(&engine.id, tokens);
         drop(book);
         Self {
             reserved_at: parts.now(),
@@ -90,7 +92,7 @@
     /// Uses up the permit and returns the name of the reservation, for the decode that is sent now.
     pub fn use_up(&mut self) -> Option<FastStr> {
         if let Some(permit) = self.permit.take() {
-            permit.use_up();
+            permit.consume();
         }
         self.reservation.name.take()
     }
@@ -100,24 +102,24 @@
     fn drop(&mut self) {
         let mut book = self.parts.book.borrow_mut();
         if book.is_current(&self.engine) {
-            book.memory_freed(&self.engine.id, self.tokens);
+            book.memory_released(&self.engine.id, self.tokens);
         }
         drop(book);
-        self.parts.freed.notify_waiters();
+        self.parts.capacity_freed.notify_waiters();
     }
 }
 
 // A place in the queue for memory, given up when dropped.
 struct QueuePlace {
     parts: Rc<RelayParts>,
-    key: LineKey,
-    entrant: LineEntrant,
+    key: QueueKey,
+    entrant: QueuedRequest,
 }
 
 impl QueuePlace {
     fn join(parts: &Rc<RelayParts>, request: &ClientRequest) -> Self {
-        let mut line = parts.line.borrow_mut();
-        let entrant = LineEntrant {
+        let mut line = parts.wait_queue.borrow_mut();
+        let entrant = QueuedRequest {
             arrived: request.received_at,
             waited: request.prior_wait,
             target: request.route.latency_target,
@@ -125,7 +127,7 @@
             tokens: request.marks.prompt_tokens + request.marks.answer_hint.unwrap_or_default(),
         };
         let key = entrant.key(line.ticket(), parts.now());
-        line.place(None, key);
+        line.insert(None, key);
         Self {
             parts: parts.clone(),
             key,
@@ -134,7 +136,7 @@
     }
 
     fn is_first(&self) -> bool {
-        self.parts.line.borrow().ahead(&self.key) == 0
+        self.parts.wait_queue.borrow().ahead(&self.key) == 0
     }
 
     // Reorders the queue by the time that has passed: a request that can no longer meet its latency target lets those
@@ -142,7 +144,10 @@
     fn update_order(&mut self) {
         let key = self.entrant.key(self.key.ticket, self.parts.now());
         if key != self.key {
-            self.parts.line.borrow_mut().place(Some(self.key), key);
+            self.parts
+                .wait_queue
+                .borrow_mut()
+                .insert(Some(self.key), key);
             self.key = key;
         }
     }
@@ -150,8 +155,8 @@
 
 impl Drop for QueuePlace {
     fn drop(&mut self) {
-        self.parts.line.borrow_mut().leave(&self.key);
-        self.parts.freed.notify_waiters();
+        self.parts.wait_queue.borrow_mut().remove(&self.key);
+        self.parts.capacity_freed.notify_waiters();
     }
 }
 
@@ -168,14 +173,14 @@
     service: &str,
     since: Duration,
     is_resumed: bool,
-    cached: Option<&KeptAt>,
+    cached: Option<&CachedAt>,
 ) -> Result<MemoryReservation, Refusal> {
     let tokens = admission::reserved_tokens(&request.marks);
     let rank = request.priority();
     let wait_until = request.deadline.min(since + admission::WAIT_LIMIT);
     let mut place = QueuePlace::join(parts, request);
     loop {
-        let freed = parts.freed.notified();
+        let freed = parts.capacity_freed.notified();
         tokio::pin!(freed);
         freed.as_mut().enable();
         if place.is_first()
@@ -214,16 +219,17 @@
 fn out_of_memory(parts: &RelayParts, service: &str, tokens: u64) -> Refusal {
     let memory = engine_limits(parts, service).map(|limits| limits.memory_tokens);
     let book = parts.book.borrow();
-    let room = DecodeRoom::of(&book, service, tokens, memory, parts.now());
+    let room = DecodeExclusions::of(&book, service, tokens, memory, parts.now());
     let text = format!("no decode engine has memory for this request: {room}");
-    Refusal::not_run(RefusalCode::Overloaded, text).after(rand::random_range(admission::COME_BACK))
+    Refusal::not_run(RefusalCode::Overloaded, text)
+        .after(rand::random_range(admission::RETRY_AFTER))
 }
 
 async fn try_engines(
     parts: &Rc<RelayParts>,
     request: &ClientRequest,
     service: &str,
-    cached: Option<&KeptAt>,
+    cached: Option<&CachedAt>,
     is_late: bool,
 ) -> Option<MemoryReservation> {
     let tokens = admission::reserved_tokens(&request.marks);
@@ -269,7 +275,7 @@
     tokens: u64,
     headroom: u64,
 ) -> Option<MemoryReservation> {
-    let permit = parts.take_permit(&engine, rank).await.ok()?;
+    let permit = parts.acquire_permit(&engine, rank).await.ok()?;
     let headroom_reservation = match headroom {
         0 => None,
         _ => Some(reserve_at(parts, &engine, headroom, HEADROOM_LIFETIME).await?),
@@ -305,17 +311,17 @@
         Ok((StatusCode::SERVICE_UNAVAILABLE, _)) if !parts.may_send(engine, None) => return None,
         Ok((StatusCode::SERVICE_UNAVAILABLE, _)) => None,
         Ok((status, _)) => {
-            parts.note_decline(engine, status);
+            parts.record_decline(engine, status);
             None
         }
         Err(failure) => {
-            parts.note_send_failure(engine, &failure);
+            parts.record_send_failure(engine, &failure);
             return None;
         }
     };
     if name.is_none() {
         let mut book = parts.book.borrow_mut();
-        book.refused(&engine.id, tokens, parts.now());
+        book.note_out_of_memory(&engine.id, tokens, parts.now());
         return None;
     }
     Some(EngineReservation {
--- a/src/relay/request/seek.rs
+++ b/src/relay/request/seek.rs
@@ -1,7 +1,9 @@
 //! Finds the decode engine that still has the prompt of a resumed stream in its cache.
 
 use {
-    crate::relay::{backend::BackendInfo, parts::shared::RelayParts, policy::kept::KeptAt},
+    crate::relay::{
+        backend::BackendInfo, parts::shared::RelayParts, policy::prompt_cache::CachedAt,
+    },
     futures::future,
     http::StatusCode,
     std::{rc::Rc, time::Duration},
@@ -20,7 +22,7 @@
     parts: &Rc<RelayParts>,
     service: &str,
     part: &str,
-) -> Option<KeptAt> {
+) -> Option<CachedAt> {
     let engines = parts.book.borrow().decode_engines(service, parts.now());
     let zone = &parts.settings.zone;
     let (near, far): (Vec<_>, Vec<_>) =
@@ -33,7 +35,7 @@
                 .map(|engine| refresh_cache_state(parts, engine)),
         )
         .await;
-        let found = parts.kept.borrow().best_of(&queried, part);
+        let found = parts.prompt_caches.borrow().best_of(&queried, part);
         if found.is_some() {
             return found;
         }
@@ -43,7 +45,7 @@
 
 // Queries an engine for its cache contents unless they are known from a moment ago.
 async fn refresh_cache_state(parts: &Rc<RelayParts>, engine: &BackendInfo) {
-    let Some(query) = parts.kept.borrow().question(&engine.id, parts.now()) else {
+    let Some(query) = parts.prompt_caches.borrow().query(&engine.id, parts.now()) else {
         return;
     };
     let engines = &parts.dialect.engines;
@@ -51,9 +53,9 @@
     match parts.call_backend(engine, call, CACHE_QUERY_TIMEOUT).await {
         Ok((StatusCode::OK, body)) => {
             let update = (engines.read_cache)(query, &body);
-            let mut kept = parts.kept.borrow_mut();
+            let mut kept = parts.prompt_caches.borrow_mut();
             match update {
-                Some(update) => kept.take(&engine.id, update, parts.now()),
+                Some(update) => kept.update(&engine.id, update, parts.now()),
                 None => kept.forget(&engine.id),
             }
         }
--- a/src/relay/request/send.rs
+++ b/src/relay/request/send.rs
@@ -62,7 +62,7 @@
     let response = match sent {
         Ok(response) => response,
         Err(failure) => {
-            parts.note_send_failure(backend, &failure);
+            parts.record_send_failure(backend, &failure);
             if failure.verdict == RunVerdict::NotRun {
                 return SendOutcome::Unsent(failure.detail);
             }
@@ -76,7 +76,7 @@
     guard.record_response(response.status, &marks);
     if marks.is_for_other_request(&request.marks.id) {
         let detail = "an answer to another request came";
-        parts.note_failure(backend, BackendFailure::Broken, detail);
+        parts.record_failure(backend, BackendFailure::Broken, detail);
         return SendOutcome::Lost(detail.into());
     }
     if request.route.kind.is_stream() && response.status.is_success() {
@@ -107,14 +107,14 @@
     let body = match response.body.read(MAX_RESPONSE_BYTES).await {
         Ok(body) => body,
         Err(detail) => {
-            parts.note_failure(backend, BackendFailure::Broken, &detail);
+            parts.record_failure(backend, BackendFailure::Broken, &detail);
             return SendOutcome::Lost(format!("answer cut short: {detail}"));
         }
     };
     if not_run {
-        parts.note_decline(backend, status);
+        parts.record_decline(backend, status);
         let now = parts.now();
-        parts.book.borrow_mut().turned_away(&backend.id, now);
+        parts.book.borrow_mut().note_rejection(&backend.id, now);
         return SendOutcome::Declined(format!("status {status}"));
     }
     SendOutcome::Responded(Box::new(PlainResponse {
--- a/src/relay/request/stream.rs
+++ b/src/relay/request/stream.rs
@@ -22,7 +22,7 @@
             config::RequestKind,
             dialect::DecodeParams,
             parts::shared::RelayParts,
-            policy::{kept::KeptAt, view::BackendFailure},
+            policy::{prompt_cache::CachedAt, view::BackendFailure},
         },
         web::PooledBody,
     },
@@ -278,7 +278,7 @@
     }
 
     // The decode engine at which a resumed stream ran before may still have its prompt cached.
-    async fn find_cached_prompt(&self, is_resumed: bool) -> Option<KeptAt> {
+    async fn find_cached_prompt(&self, is_resumed: bool) -> Option<CachedAt> {
         let marks = &self.request.marks;
         if !is_resumed && marks.last_event.is_none() {
             return None;
@@ -320,7 +320,7 @@
             let chosen = prefill::choose_prefill_engine(parts, &self.service, zone, rank, &tried)?;
             let engine = chosen.0.id.clone();
             // A rate-limited engine without a permit is treated like one that cannot be reached.
-            let Ok(permit) = parts.take_permit(&chosen.0, rank).await else {
+            let Ok(permit) = parts.acquire_permit(&chosen.0, rank).await else {
                 tried.push(engine);
                 continue;
             };
@@ -331,7 +331,7 @@
             if !self.may_prefill() {
                 return None;
             }
-            permit.use_up();
+            permit.consume();
             let failure = match prefill::prefill_prompt(&self.parts, &self.request, chosen).await {
                 Ok(cache) => {
                     self.prefill_received = true;
@@ -343,7 +343,7 @@
             self.prefill_broken |= failure.received && failure.kind == BackendFailure::Broken;
             if failure.received {
                 self.prefill_received = true;
-                self.parts.count_repeat(&self.service);
+                self.parts.count_retry(&self.service);
                 return None;
             }
             tried.push(engine);
@@ -355,20 +355,20 @@
     // budget.
     fn may_prefill(&self) -> bool {
         match self.prefill_received {
-            true => self.parts.spend_repeat(&self.service),
-            false => self.parts.may_risk_repeat(&self.service),
+            true => self.parts.spend_retry(&self.service),
+            false => self.parts.may_risk_retry(&self.service),
         }
     }
 
     fn may_decode_again(&self) -> bool {
-        self.parts.spend_repeat(&self.service)
+        self.parts.spend_retry(&self.service)
     }
 
     /// Counts the retry that resumes this stream at another engine, and returns whether the budget allows it. If not, the
     /// part of the response that the client has is lost, so these retries may use a larger part of the budget.
     pub(super) fn count_retry(&mut self) -> bool {
         self.is_retry_counted =
-            self.is_retry_counted || self.parts.spend_dear_repeat(&self.service);
+            self.is_retry_counted || self.parts.spend_costly_retry(&self.service);
         self.is_retry_counted
     }
 
--- a/src/relay/settings.rs
+++ b/src/relay/settings.rs
@@ -1,7 +1,7 @@
 //! Settings of a host that relays requests.
 
 use {
-    super::policy::budget::RetryAllowance,
+    super::policy::budget::RetryBudget,
     crate::{
         account::{KeyRules, LimitTolerance},
         web::PoolSettings,
@@ -48,7 +48,7 @@
 #[derive(Debug, Clone)]
 pub struct RelayBounds {
     /// Number of retries allowed to all hosts together: sends of a request after its first.
-    pub retries: RetryAllowance,
+    pub retries: RetryBudget,
     /// Maximum time until a change of the configuration or of the servers is in force.
     pub change_time: Duration,
     /// Interval at which backend servers renew their entries in the store.
--- a/src/route/desk.rs
+++ b/src/route/scheduler.rs
@@ -1,12 +1,12 @@
-//! Where requests wait for engines and are given them, or are refused in time.
+//! Scheduler that assigns engines to waiting requests, or refuses them early.
 //!
-//! A plain state machine: requests, reports and the time go in, answers come out.
+//! A plain state machine: its inputs are requests, load reports and the time; its outputs are answers.
 
 use {
     super::{
         choose::{self, ScoredEngine},
         explain::{DecisionLog, DecisionRecord, WeighedEngine},
-        place::{DeskAnswer, PlaceRequest, PlaceStage, Placement},
+        placement::{PlacementAnswer, PlacementAttempt, PlacementRequest, PlacementStage},
         policy::RouteTuning,
         view::{EngineInfo, EngineView},
     },
@@ -19,53 +19,53 @@
     std::{collections::BTreeMap, sync::Arc, time::Duration},
 };
 
-/// Requests that found no room in a row, after which those behind them are not tried: a full
-/// queue must not cost a search of all engines for each of its members.
-const BLOCKED_MAX: usize = 6;
+/// Number of waiting requests without capacity after which later ones are not tried, so that a full queue
+/// does not cost a search of all engines for each entry.
+const MAX_BLOCKED: usize = 6;
 
-/// Longest wait that a refused caller is told.
-const RETRY_AFTER_MAX: Duration = Duration::from_secs(30);
+/// Upper bound of the retry delay sent to a refused caller.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// Where requests wait for engines.
+/// Assigns engines to waiting requests.
 #[derive(Debug)]
-pub struct PlaceDesk {
+pub struct EngineScheduler {
     pub(super) tuning: RouteTuning,
     pub(super) zone: FastStr,
     pub(super) views: BTreeMap<FastStr, EngineView>,
-    // Engines that this host does not choose and may still have to speak with.
-    pub(super) others: BTreeMap<FastStr, Arc<EngineLink>>,
-    pub(super) waiting: Vec<PlaceRequest>,
+    // Links to engines that this host does not schedule but may still have to contact.
+    pub(super) unscheduled: BTreeMap<FastStr, Arc<EngineLink>>,
+    pub(super) waiting: Vec<PlacementRequest>,
     pub(super) log: DecisionLog,
     pub(super) random: StdRng,
     pub(super) turn: usize,
-    // Mean time between two placements while requests wait, seconds.
-    pub(super) drain_gap: Option<f64>,
+    // Mean time between two placements while requests wait, in seconds.
+    pub(super) placement_interval: Option<f64>,
     pub(super) last_placed: Option<Duration>,
 }
 
-impl PlaceDesk {
-    /// A desk of a host in `zone`; the seed makes its random choices repeatable.
+impl EngineScheduler {
+    /// Creates the scheduler of a host in `zone`. The seed makes its random choices reproducible.
     pub fn new(zone: FastStr, tuning: RouteTuning, seed: u64) -> Self {
         Self {
             tuning,
             zone,
             views: BTreeMap::new(),
-            others: BTreeMap::new(),
+            unscheduled: BTreeMap::new(),
             waiting: Vec::new(),
             log: DecisionLog::default(),
             random: StdRng::seed_from_u64(seed),
             turn: 0,
-            drain_gap: None,
+            placement_interval: None,
             last_placed: None,
         }
     }
 
-    /// The numbers in use.
+    /// Returns the tuning parameters in use.
     pub fn tuning(&self) -> &RouteTuning {
         &self.tuning
     }
 
-    /// Takes the engines that there are; what is known of those that stay is kept.
+    /// Replaces the list of engines and keeps the state of those that remain.
     pub fn set_engines(&mut self, engines: Vec<(EngineInfo, bool)>) {
         let mut known = std::mem::take(&mut self.views);
         for (info, leaving) in engines {
@@ -77,7 +77,7 @@
             view.leaving = leaving;
             self.views.insert(view.info.name.clone(), view);
         }
-        // An engine that is gone from the list while work is there still has to be counted.
+        // An engine that is no longer listed stays known while this host has work there.
         for (name, mut view) in known {
             if view.own_work() != (0, 0) {
                 view.leaving = true;
@@ -86,38 +86,38 @@
         }
     }
 
-    /// Takes the links to engines that this host does not choose.
-    pub fn set_others(&mut self, others: BTreeMap<FastStr, Arc<EngineLink>>) {
-        self.others = others;
+    /// Sets the links to engines that this host does not schedule.
+    pub fn set_unscheduled(&mut self, others: BTreeMap<FastStr, Arc<EngineLink>>) {
+        self.unscheduled = others;
     }
 
-    /// The link to an engine, chosen here or not; none when it is not listed.
+    /// Returns the link to an engine, whether scheduled by this host or not. None if it is not listed.
     pub fn link(&self, engine: &str) -> Option<Arc<EngineLink>> {
         match self.views.get(engine) {
             Some(view) => Some(view.info.link.clone()),
-            None => self.others.get(engine).cloned(),
+            None => self.unscheduled.get(engine).cloned(),
         }
     }
 
-    /// An attempt of another host is read here from now on.
+    /// Records that this host has taken over a decode from another host.
     pub fn decode_adopted(&mut self, engine: &str) {
         if let Some(view) = self.views.get_mut(engine) {
             view.decode_began();
         }
     }
 
-    /// What is known of an engine.
+    /// Returns the state of an engine.
     pub fn view(&self, engine: &str) -> Option<&EngineView> {
         self.views.get(engine)
     }
 
-    /// What is known of all engines.
+    /// Returns the states of all engines.
     pub fn views(&self) -> impl Iterator<Item = &EngineView> {
         self.views.values()
     }
 
-    /// The engines whose news is older than `period`, the oldest first: at most `most`, and all
-    /// that were never heard of.
+    /// Engines whose last report is older than `period`, the oldest first: at most `most`, but always all
+    /// that never reported.
     pub fn stale_engines(&self, period: Duration, most: usize, now: Duration) -> Vec<&EngineView> {
         let mut stale: Vec<&EngineView> = self
             .views
@@ -134,48 +134,48 @@
         stale
     }
 
-    /// The decisions made for a request.
+    /// Returns the decisions made for a request.
     pub fn explain(&self, request: &str) -> Vec<DecisionRecord> {
         self.log.of(request)
     }
 
-    /// The decisions made for the newest request.
+    /// Returns the decisions made for the latest request.
     pub fn latest(&self) -> Vec<DecisionRecord> {
         self.log.latest()
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Adds a request; its answer comes from [`Self::pump`].
-    pub fn ask(&mut self, request: PlaceRequest) {
+    /// Adds a request; [`Self::schedule`] returns its answer.
+    pub fn enqueue(&mut self, request: PlacementRequest) {
         self.waiting.push(request);
     }
 
-    /// Forgets a request that no longer wants an answer.
-    pub fn withdraw(&mut self, ticket: u64) {
-        self.waiting.retain(|request| request.ticket != ticket);
+    /// Removes a request whose caller no longer waits.
+    pub fn cancel(&mut self, queue_id: u64) {
+        self.waiting.retain(|request| request.queue_id != queue_id);
     }
 
-    /// Answers every waiting request that can be answered now, the least slack first.
-    pub fn pump(&mut self, now: Duration) -> Vec<(u64, DeskAnswer)> {
+    /// Answers every waiting request that can be answered now, in the order of urgency.
+    pub fn schedule(&mut self, now: Duration) -> Vec<(u64, PlacementAnswer)> {
         let mut waiting = std::mem::take(&mut self.waiting);
-        waiting.sort_by_key(|request| (self.urgency(request), request.ticket));
+        waiting.sort_by_key(|request| (self.urgency(request), request.queue_id));
         let mut answers = Vec::new();
         let mut ahead = 0;
         for request in waiting {
-            let is_whole = request.stage == PlaceStage::Whole && !request.resumed;
-            let is_hopeless = ahead >= BLOCKED_MAX || !self.has_any_room(now);
-            let answer = match is_whole && self.tuning.policy.queues_here() && is_hopeless {
-                true => self.answer_queued(&request, ahead, now),
+            let needs_both = request.stage == PlacementStage::PrefillAndDecode && !request.resumed;
+            let skips_search = ahead >= MAX_BLOCKED || !self.has_any_capacity(now);
+            let answer = match needs_both && self.tuning.policy.queues_requests() && skips_search {
+                true => self.refuse_overdue(&request, ahead, now),
                 false => self.answer(&request, ahead, now),
             };
             match answer {
                 Some(answer) => {
-                    self.count_placement(&answer, ahead, now);
-                    answers.push((request.ticket, answer));
+                    self.record_placement(&answer, ahead, now);
+                    answers.push((request.queue_id, answer));
                 }
                 None => {
                     ahead += 1;
@@ -191,30 +191,31 @@
 
     fn answer(
         &mut self,
-        request: &PlaceRequest,
+        request: &PlacementRequest,
         ahead: usize,
         now: Duration,
-    ) -> Option<DeskAnswer> {
+    ) -> Option<PlacementAnswer> {
         match request.stage {
-            PlaceStage::Whole => self.answer_whole(request, ahead, now),
-            PlaceStage::DecodeOnly(until) => self.answer_decode(request, until, now),
+            PlacementStage::PrefillAndDecode => self.answer_both(request, ahead, now),
+            PlacementStage::DecodeOnly(until) => self.answer_decode(request, until, now),
         }
     }
 
-    fn answer_whole(
+    fn answer_both(
         &mut self,
-        request: &PlaceRequest,
+        request: &PlacementRequest,
         ahead: usize,
         now: Duration,
-    ) -> Option<DeskAnswer> {
-        // What is late here may have room elsewhere at once; it does not wait for room elsewhere, since
-        // the other zones' engines are known less well (docs/performance.md).
+    ) -> Option<PlacementAnswer> {
+        // A request that would be late in one zone may be placed in another at once, but does not wait for
+        // capacity there, since the state of engines in other zones is known less accurately
+        // (docs/performance.md).
         let mut late = None;
         for zone in self.zones_to_try() {
-            match self.place(request, zone, now) {
-                Placement::Placed(answer) => return Some(answer),
-                Placement::Late(by) => late = late.or(Some(by)),
-                Placement::Blocked => {}
+            match self.try_place(request, zone, now) {
+                PlacementAttempt::Placed(answer) => return Some(answer),
+                PlacementAttempt::Late(by) => late = late.or(Some(by)),
+                PlacementAttempt::Blocked => {}
             }
         }
         if let Some(by) = late {
@@ -224,38 +225,48 @@
             let text = format!("no backend server of model {} can take work", request.model);
             return Some(self.refuse(request, RefusalCode::NoBackend, text, now));
         }
-        self.answer_queued(request, ahead, now)
+        self.refuse_overdue(request, ahead, now)
     }
 
-    // Whether a request that waits behind `ahead` others has waited, or will wait, too long.
-    fn answer_queued(
+    // Refuses a request behind `ahead` others if it has waited, or is expected to wait, too long.
+    fn refuse_overdue(
         &mut self,
-        request: &PlaceRequest,
+        request: &PlacementRequest,
         ahead: usize,
         now: Duration,
-    ) -> Option<DeskAnswer> {
-        if !self.tuning.policy.queues_here() || request.resumed {
+    ) -> Option<PlacementAnswer> {
+        if !self.tuning.policy.queues_requests() || request.resumed {
             return None;
         }
-        let drain = self.drain_gap.unwrap_or(0.0) * ahead as f64;
+        let drain = self.placement_interval.unwrap_or(0.0) * ahead as f64;
         let wait = drain.max(self.least_backlog(now));
         let predicted = now + Duration::from_secs_f64(wait) + self.service_time(request);
         let by = self.first_token_by(request);
         (predicted > by).then(|| self.refuse_late(request, predicted - by, now))
     }
 
-    fn refuse_late(&mut self, request: &PlaceRequest, by: Duration, now: Duration) -> DeskAnswer {
+    fn refuse_late(
+        &mut self,
+        request: &PlacementRequest,
+        by: Duration,
+        now: Duration,
+    ) -> PlacementAnswer {
         let late = by.as_millis();
         let text = format!("the first token would come {late} ms too late");
         self.refuse(request, RefusalCode::Overloaded, text, now)
     }
 
-    // Own zone first; then any.
+    // The own zone first, then all zones.
     fn zones_to_try(&self) -> [Option<FastStr>; 2] {
         [Some(self.zone.clone()), None]
     }
 
-    fn place(&mut self, request: &PlaceRequest, zone: Option<FastStr>, now: Duration) -> Placement {
+    fn try_place(
+        &mut self,
+        request: &PlacementRequest,
+        zone: Option<FastStr>,
+        now: Duration,
+    ) -> PlacementAttempt {
         let mut random = StdRng::seed_from_u64(self.random.random());
         let prefills = self.rank_engines(
             request,
@@ -267,14 +278,14 @@
         let decodes =
             self.rank_engines(request, EngineRole::Decode, zone.as_ref(), now, &mut random);
         let (Some(prefill), Some(decode)) = (prefills.first(), decodes.first()) else {
-            return Placement::Blocked;
+            return PlacementAttempt::Blocked;
         };
-        if self.tuning.policy.queues_here() {
+        if self.tuning.policy.queues_requests() {
             if let Some(by) = self.lateness(request, prefill, now) {
-                return Placement::Late(by);
+                return PlacementAttempt::Late(by);
             }
-            if !self.has_room(prefill.view, now) || !self.has_slot(decode.view) {
-                return Placement::Blocked;
+            if !self.has_prefill_capacity(prefill.view, now) || !self.has_free_slot(decode.view) {
+                return PlacementAttempt::Blocked;
             }
         }
         let record = self.record(request, "placed", now, &prefills, &decodes);
@@ -283,7 +294,7 @@
         self.turn += 1;
         self.log.add(record);
         self.begin(request, Some(&prefill), &decode);
-        Placement::Placed(DeskAnswer::Placed {
+        PlacementAttempt::Placed(PlacementAnswer::Placed {
             prefill: Some(prefill),
             decode,
         })
@@ -291,10 +302,10 @@
 
     fn answer_decode(
         &mut self,
-        request: &PlaceRequest,
+        request: &PlacementRequest,
         until: Duration,
         now: Duration,
-    ) -> Option<DeskAnswer> {
+    ) -> Option<PlacementAnswer> {
         if now >= until {
             let text = "no decode engine was free while the KV cache lived";
             return Some(self.refuse(request, RefusalCode::Overloaded, text.into(), now));
@@ -310,13 +321,13 @@
         self.turn += 1;
         self.log.add(record);
         self.begin(request, None, &name);
-        Some(DeskAnswer::Placed {
+        Some(PlacementAnswer::Placed {
             prefill: None,
             decode: name,
         })
     }
 
-    fn begin(&mut self, request: &PlaceRequest, prefill: Option<&FastStr>, decode: &FastStr) {
+    fn begin(&mut self, request: &PlacementRequest, prefill: Option<&FastStr>, decode: &FastStr) {
         if let Some(view) = prefill.and_then(|name| self.views.get_mut(name)) {
             view.prefill_began(request.tokens, &request.blocks);
         }
@@ -325,13 +336,13 @@
         }
     }
 
-    fn count_placement(&mut self, answer: &DeskAnswer, ahead: usize, now: Duration) {
-        if !matches!(answer, DeskAnswer::Placed { .. }) {
+    fn record_placement(&mut self, answer: &PlacementAnswer, ahead: usize, now: Duration) {
+        if !matches!(answer, PlacementAnswer::Placed { .. }) {
             return;
         }
         if let (Some(last), true) = (self.last_placed, ahead + self.waiting.len() > 0) {
             let gap = now.saturating_sub(last).as_secs_f64();
-            self.drain_gap = Some(match self.drain_gap {
+            self.placement_interval = Some(match self.placement_interval {
                 Some(known) => known + 0.1 * (gap - known),
                 None => gap,
             });
@@ -341,11 +352,11 @@
 
     fn refuse(
         &mut self,
-        request: &PlaceRequest,
+        request: &PlacementRequest,
         code: RefusalCode,
         text: String,
         now: Duration,
-    ) -> DeskAnswer {
+    ) -> PlacementAnswer {
         let prefills = Vec::new();
         let record = DecisionRecord {
             request: request.request.clone(),
@@ -355,27 +366,27 @@
             decodes: Vec::new(),
         };
         self.log.add(record);
-        let drain = self.drain_gap.unwrap_or(0.0) * self.waiting.len() as f64;
-        let wait = Duration::from_secs_f64(drain).clamp(Duration::from_secs(1), RETRY_AFTER_MAX);
-        DeskAnswer::Refused(Refusal::not_run(code, text).after(wait))
+        let drain = self.placement_interval.unwrap_or(0.0) * self.waiting.len() as f64;
+        let wait = Duration::from_secs_f64(drain).clamp(Duration::from_secs(1), MAX_RETRY_AFTER);
+        PlacementAnswer::Refused(Refusal::not_run(code, text).after(wait))
     }
 
     fn record(
         &self,
-        request: &PlaceRequest,
+        request: &PlacementRequest,
         decision: &str,
         now: Duration,
         prefills: &[ScoredEngine<'_>],
         decodes: &[ScoredEngine<'_>],
     ) -> DecisionRecord {
-        let prefills: Vec<WeighedEngine> = choose::weighed(prefills, |view| {
+        let prefills: Vec<WeighedEngine> = choose::explain_ranking(prefills, |view| {
             let cached = view.cached_tokens(&request.blocks);
             format!(
                 "{} tokens before it, {cached} cached",
                 view.backlog_tokens(&self.tuning, now)
             )
         });
-        let decodes: Vec<WeighedEngine> = choose::weighed(decodes, |view| {
+        let decodes: Vec<WeighedEngine> = choose::explain_ranking(decodes, |view| {
             let total = view.slots_total().unwrap_or(0);
             format!("{} of {total} slots used", view.slots_used())
         });
--- a/src/route/server_states.rs
+++ b/src/route/server_states.rs
@@ -1,8 +1,8 @@
-//! What answers of plain services' servers say about them, on the product's own interface: how many calls a second they take
-//! from all hosts together, that they are leaving, that this host is to back off.
+//! Tracks what servers of plain services report in their responses through the product's own headers: their
+//! rate limit across all hosts, that they are leaving, and that this host should back off.
 //!
-//! Hosts of this interface do not allocate permits to each other: each takes an equal share of what a server names, by the
-//! number of hosts.
+//! Hosts do not allocate permits to each other here. Each host takes an equal share of a server's limit, by
+//! the number of hosts.
 
 use {
     super::servers::ServerInfo,
@@ -10,8 +10,9 @@
         clock::HostClock,
         event,
         relay::{
-            self, AvailabilityBook, EngineKey, LimitBook, LimitMark, LimitSaying, PermitAllocator,
-            PermitState, ServerAvailability, ServerHeaders, ServerMarks, ServerRun,
+            self, AvailabilityTracker, EngineKey, LimitSignal, LimitTracker, PermitAllocator,
+            PermitState, ReportedLimit, ServerAvailability, ServerHeaders, ServerRun,
+            ServerSignals,
         },
     },
     faststr::FastStr,
@@ -23,23 +24,24 @@
     },
 };
 
-/// What a server's answers say of it: the calls a second that it takes from all hosts together, and that it is leaving.
+/// Response headers in which a server reports its rate limit in calls per second across all hosts, and that
+/// it is leaving.
 pub const SERVER_HEADERS: ServerHeaders = ServerHeaders {
     limit: HeaderName::from_static("bayplank-server-limit"),
     leaving: HeaderName::from_static("bayplank-server-leaving"),
 };
 
-// All calls of this interface are alike urgent.
-const RANK: u8 = 0;
+// All calls have the same priority here.
+const CALL_PRIORITY: u8 = 0;
 
 #[derive(Debug)]
 struct KnownStates {
-    limits: LimitBook,
+    limits: LimitTracker,
     allocator: PermitAllocator,
-    availability: AvailabilityBook,
+    availability: AvailabilityTracker,
 }
 
-/// Which servers are rate-limited, leaving or waiting for a backoff to end, and this host's permits.
+/// Rate limits, availability and backoffs of servers, and the permits of this host.
 #[derive(Debug)]
 pub struct ServerStates {
     known: Mutex<KnownStates>,
@@ -47,12 +49,12 @@
 }
 
 impl ServerStates {
-    /// Nothing is known yet.
+    /// Creates an empty state.
     pub fn new(host: &str, clock: HostClock) -> Self {
         let known = KnownStates {
-            limits: LimitBook::new(host),
+            limits: LimitTracker::new(host),
             allocator: PermitAllocator::default(),
-            availability: AvailabilityBook::default(),
+            availability: AvailabilityTracker::default(),
         };
         Self {
             known: Mutex::new(known),
@@ -61,15 +63,15 @@
     }
 
     fn known(&self) -> MutexGuard<'_, KnownStates> {
-        self.known.lock().expect("server states")
+        self.known.lock().expect("server states lock")
     }
 
-    /// Time on the clock that sends are noted by.
+    /// Current time on the clock of the send times.
     pub fn now(&self) -> Duration {
         self.clock.now()
     }
 
-    /// Takes what an answer says of its server; the call was sent at `sent`.
+    /// Processes the headers of a response; its request was sent at `sent`.
     pub fn note(
         &self,
         server: &ServerInfo,
@@ -81,23 +83,26 @@
         self.note_availability(server, &marks);
         let ran_well = status.is_success();
         let limit = match marks.limit {
-            LimitMark::Named(limit) => Some(limit),
-            LimitMark::Unsaid if ran_well => None,
-            LimitMark::Unsaid => return,
-            LimitMark::Unreadable => {
-                log::debug!("{} names a limit that is none", server.name);
+            LimitSignal::Limited(limit) => Some(limit),
+            LimitSignal::Absent if ran_well => None,
+            LimitSignal::Absent => return,
+            LimitSignal::Invalid => {
+                log::debug!(
+                    "backend server {} sent an unreadable rate limit",
+                    server.name
+                );
                 return;
             }
         };
         let now = self.clock.now();
-        let saying = LimitSaying::told(limit, now.saturating_sub(sent), now);
-        self.known().limits.take(key_of(server), saying, now);
+        let saying = ReportedLimit::from_age(limit, now.saturating_sub(sent), now);
+        self.known().limits.update(key_of(server), saying, now);
     }
 
-    fn note_availability(&self, server: &ServerInfo, marks: &ServerMarks) {
+    fn note_availability(&self, server: &ServerInfo, marks: &ServerSignals) {
         let now = self.clock.now();
         let mut known = self.known();
-        let change = known.availability.note(&server.run(), marks, now);
+        let change = known.availability.record(&server.run(), marks, now);
         drop(known);
         if change.is_leaving {
             event::emit(
@@ -117,13 +122,13 @@
         }
     }
 
-    /// Whether a server takes new calls of this host, as far as its answers say.
+    /// Availability of a server for new calls of this host, as reported in its responses.
     pub fn availability(&self, server: &ServerInfo) -> ServerAvailability {
         let now = self.clock.now();
         self.known().availability.availability(&server.run(), now)
     }
 
-    /// Evicts what is no longer of use of servers that are not listed.
+    /// Evicts outdated state of servers that are not listed.
     pub fn evict_expired(&self, listed: &[ServerInfo]) {
         let now = self.clock.now();
         let runs: HashSet<ServerRun> = listed.iter().map(ServerInfo::run).collect();
@@ -137,33 +142,34 @@
         }
     }
 
-    /// Takes a permit at a server for one of so many hosts; otherwise when one is likely. A server without a limit takes all.
+    /// Takes a permit for a server whose limit is shared by `hosts` hosts, or returns when one is likely to
+    /// be available. A server without a limit accepts every call.
     pub fn take_permit(&self, server: &ServerInfo, hosts: usize) -> Result<(), Duration> {
         let now = self.clock.now();
         let server = key_of(server);
         let known = &mut *self.known();
-        known.limits.forget_old(now);
-        known.allocator.forget_old(now);
-        if known.limits.permit(server, RANK, now) == PermitState::Ask
-            && let Some(ask) = known.limits.ask(server, RANK, now)
+        known.limits.remove_expired(now);
+        known.allocator.remove_expired(now);
+        if known.limits.permit(server, CALL_PRIORITY, now) == PermitState::MustRequest
+            && let Some(ask) = known.limits.permit_request(server, CALL_PRIORITY, now)
         {
             let grant = known
                 .allocator
                 .allocate_share(&ask, hosts, rand::random(), now);
-            known.limits.take_grant(server, RANK, &grant, now);
+            known.limits.apply_grant(server, CALL_PRIORITY, &grant, now);
         }
-        match known.limits.permit(server, RANK, now) {
-            PermitState::Free => Ok(()),
+        match known.limits.permit(server, CALL_PRIORITY, now) {
+            PermitState::Unlimited => Ok(()),
             PermitState::Held if known.limits.use_permit(server, now) => Ok(()),
-            PermitState::Empty(wait) => {
-                known.limits.note_sent_away(server);
+            PermitState::Denied(wait) => {
+                known.limits.record_rejection(server);
                 Err(wait)
             }
-            PermitState::Held | PermitState::Ask => Err(Duration::ZERO),
+            PermitState::Held | PermitState::MustRequest => Err(Duration::ZERO),
         }
     }
 
-    /// The limits that are believed of some servers, for operators: calls a second of all hosts.
+    /// Effective limits of some servers, in calls per second across all hosts, for operators.
     pub fn limits<'a>(&self, servers: impl Iterator<Item = &'a ServerInfo>) -> Vec<(FastStr, f64)> {
         let known = self.known();
         let limit = |server: &ServerInfo| {
@@ -174,7 +180,7 @@
     }
 }
 
-// The platform of this interface does not tell runs of a server under one name apart.
+// The platform does not distinguish runs of a server under the same name here.
 fn key_of(server: &ServerInfo) -> EngineKey {
     EngineKey::of(&server.name)
 }
--- a/src/route/servers.rs
+++ b/src/route/servers.rs
@@ -1,4 +1,4 @@
-//! Choosing a server of a plain service: the one with the fewest calls of this host in progress.
+//! Load balancing for plain services: the server with the fewest calls of this host in progress is selected.
 
 use {
     crate::{object, relay::ServerRun},
@@ -13,32 +13,32 @@
     tokio::time::Instant,
 };
 
-/// How long a server that could not be reached is passed over while others can.
-const AVOID_TIME: Duration = Duration::from_secs(2);
+/// How long an unreachable server is avoided while others are available.
+const UNREACHABLE_AVOID_TIME: Duration = Duration::from_secs(2);
 
-/// Who a server is.
+/// Identity and address of a server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServerInfo {
-    /// Its name.
+    /// Name.
     pub name: FastStr,
-    /// Its address.
+    /// Address.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: FastStr,
-    /// Its labels.
+    /// Labels.
     pub labels: object::LabelMap,
-    /// It wants no new work.
+    /// Whether the server is leaving and takes no new requests.
     pub leaving: bool,
 }
 
 impl ServerInfo {
-    /// Whether one of the selectors picks it.
-    pub fn is_picked_by(&self, selectors: &[object::LabelSelector]) -> bool {
+    /// Whether one of the selectors matches the server.
+    pub fn matches_any(&self, selectors: &[object::LabelSelector]) -> bool {
         let mut selectors = selectors.iter();
         selectors.any(|selector| selector.matches(&self.labels))
     }
 
-    /// Its run as far as it can be told from others: by its name and address.
+    /// Identifies the server's run by name and address, as nothing else distinguishes runs here.
     pub fn run(&self) -> ServerRun {
         ServerRun {
             id: self.name.clone(),
@@ -55,16 +55,16 @@
     avoid_until: Option<Instant>,
 }
 
-/// The servers of plain services.
+/// Known servers of plain services.
 #[derive(Debug, Default)]
-pub struct ServerBook {
+pub struct ServerRegistry {
     views: Mutex<BTreeMap<FastStr, ServerView>>,
 }
 
-impl ServerBook {
-    /// Takes the servers that there are.
+impl ServerRegistry {
+    /// Replaces the list of servers and keeps the state of those that remain.
     pub fn set_servers(&self, servers: Vec<ServerInfo>) {
-        let mut views = self.views.lock().expect("server book");
+        let mut views = self.views.lock().expect("server registry lock");
         let mut known = std::mem::take(&mut *views);
         for info in servers {
             let old = known.remove(&info.name);
@@ -81,82 +81,83 @@
         }
     }
 
-    /// A server that one of the selectors picks, that is in rotation and was not tried yet: of this zone if it can
-    /// be, reachable if it can be, least busy, at random among equals.
-    pub fn choose(
+    /// Selects a server that matches one of the selectors, is in rotation and has not been tried yet. Prefers
+    /// reachable servers, then those in this zone, then those with the fewest calls; ties are broken at
+    /// random.
+    pub fn select(
         self: &Arc<Self>,
         selectors: &[object::LabelSelector],
         zone: &FastStr,
         tried: &[FastStr],
         in_rotation: impl Fn(&ServerInfo) -> bool,
-    ) -> Option<ServerChoice> {
+    ) -> Option<SelectedServer> {
         let now = Instant::now();
-        let mut views = self.views.lock().expect("server book");
+        let mut views = self.views.lock().expect("server registry lock");
         let mut random = rand::rng();
         let best = views
             .values_mut()
             .filter(|view| !view.info.leaving && !tried.contains(&view.info.name))
-            .filter(|view| view.info.is_picked_by(selectors) && in_rotation(&view.info))
+            .filter(|view| view.info.matches_any(selectors) && in_rotation(&view.info))
             .min_by_key(|view| {
                 let avoided = view.avoid_until.is_some_and(|until| now < until);
                 let away = view.info.zone != *zone;
                 (avoided, away, view.calls, random.random::<u32>())
             })?;
         best.calls += 1;
-        Some(ServerChoice {
-            book: self.clone(),
+        Some(SelectedServer {
+            registry: self.clone(),
             info: best.info.clone(),
         })
     }
 
-    /// All servers.
+    /// Returns all servers.
     pub fn servers(&self) -> Vec<ServerInfo> {
-        let views = self.views.lock().expect("server book");
+        let views = self.views.lock().expect("server registry lock");
         views.values().map(|view| view.info.clone()).collect()
     }
 
-    fn finish(&self, name: &FastStr) {
-        let mut views = self.views.lock().expect("server book");
+    fn call_ended(&self, name: &FastStr) {
+        let mut views = self.views.lock().expect("server registry lock");
         if let Some(view) = views.get_mut(name) {
             view.calls = view.calls.saturating_sub(1);
         }
     }
 
     fn avoid(&self, name: &FastStr) {
-        let mut views = self.views.lock().expect("server book");
+        let mut views = self.views.lock().expect("server registry lock");
         if let Some(view) = views.get_mut(name) {
-            view.avoid_until = Some(Instant::now() + AVOID_TIME);
+            view.avoid_until = Some(Instant::now() + UNREACHABLE_AVOID_TIME);
         }
     }
 }
 
-/// A chosen server; counted as busy until dropped.
+/// Selected server; its call counts as in progress until this is dropped.
 #[derive(Debug)]
-pub struct ServerChoice {
-    book: Arc<ServerBook>,
+pub struct SelectedServer {
+    registry: Arc<ServerRegistry>,
     /// The server.
     pub info: ServerInfo,
 }
 
-impl ServerChoice {
-    /// The server's name.
+impl SelectedServer {
+    /// Returns the server's name.
     pub fn name(&self) -> FastStr {
         self.info.name.clone()
     }
 
-    /// The server's address.
+    /// Returns the server's address.
     pub fn address(&self) -> SocketAddr {
         self.info.address
     }
 
-    /// A call to it failed.
+    /// Records that a call to the server failed.
     pub fn failed(&self) {
-        self.book.avoid(&self.info.name);
+        self.registry.avoid(&self.info.name);
     }
 }
 
-impl Drop for ServerChoice {
+impl Drop for SelectedServer {
     fn drop(&mut self) {
-        self.book.finish(&self.info.name);
+        self.registry.call_ended(&self.info.name);
     }
 }
--- a/src/route/shared.rs
+++ b/src/route/shared.rs
@@ -1,10 +1,10 @@
-//! The desk as tasks share it: they ask and wait, a pump answers.
+//! Scheduler shared by tasks, which wait for its answers. A background task retries waiting requests.
 
 use {
     super::{
-        desk::PlaceDesk,
-        place::{DeskAnswer, PlaceRequest},
+        placement::{PlacementAnswer, PlacementRequest},
         policy::RouteTuning,
+        scheduler::EngineScheduler,
     },
     crate::{
         clock::HostClock,
@@ -22,153 +22,154 @@
     tokio::sync::{Notify, oneshot},
 };
 
-/// How often waiting requests are looked at when nothing else happens.
-const PUMP_PERIOD: Duration = Duration::from_millis(10);
+/// Interval at which waiting requests are retried without any other event.
+const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A [`PlaceDesk`] that tasks share.
+/// An [`EngineScheduler`] shared by tasks.
 #[derive(Debug)]
-pub struct SharedDesk {
-    inner: Mutex<DeskInner>,
+pub struct SharedScheduler {
+    inner: Mutex<SchedulerState>,
     clock: HostClock,
-    asked: Notify,
-    next_ticket: AtomicU64,
+    request_added: Notify,
+    next_queue_id: AtomicU64,
 }
 
 #[derive(Debug)]
-struct DeskInner {
-    desk: PlaceDesk,
-    answers: HashMap<u64, oneshot::Sender<DeskAnswer>>,
+struct SchedulerState {
+    scheduler: EngineScheduler,
+    answers: HashMap<u64, oneshot::Sender<PlacementAnswer>>,
 }
 
-impl SharedDesk {
-    /// A desk of a host in `zone`.
+impl SharedScheduler {
+    /// Creates the scheduler of a host in `zone`.
     pub fn new(zone: FastStr, tuning: RouteTuning, seed: u64, clock: HostClock) -> Arc<Self> {
         Arc::new(Self {
-            inner: Mutex::new(DeskInner {
-                desk: PlaceDesk::new(zone, tuning, seed),
+            inner: Mutex::new(SchedulerState {
+                scheduler: EngineScheduler::new(zone, tuning, seed),
                 answers: HashMap::new(),
             }),
             clock,
-            asked: Notify::new(),
-            next_ticket: AtomicU64::new(1),
+            request_added: Notify::new(),
+            next_queue_id: AtomicU64::new(1),
         })
     }
 
-    /// Time since the desk was made; all its times are on this clock.
+    /// Current time on the scheduler's clock, which all its times refer to.
     pub fn now(&self) -> Duration {
         self.clock.now()
     }
 
-    /// Reads the desk.
-    pub fn read<R>(&self, read: impl FnOnce(&PlaceDesk) -> R) -> R {
-        read(&self.inner.lock().expect("desk").desk)
+    /// Reads the scheduler's state.
+    pub fn read<R>(&self, read: impl FnOnce(&EngineScheduler) -> R) -> R {
+        read(&self.inner.lock().expect("scheduler lock").scheduler)
     }
 
-    /// Changes the desk, then answers whom it can.
-    pub fn change<R>(&self, change: impl FnOnce(&mut PlaceDesk, Duration) -> R) -> R {
-        let mut inner = self.inner.lock().expect("desk");
-        // Read under the lock, so that the desk's time never goes back.
+    /// Changes the scheduler's state, then answers the waiting requests that it can.
+    pub fn change<R>(&self, change: impl FnOnce(&mut EngineScheduler, Duration) -> R) -> R {
+        let mut inner = self.inner.lock().expect("scheduler lock");
+        // Read under the lock, so that the scheduler's time never goes backwards.
         let now = self.now();
-        let result = change(&mut inner.desk, now);
-        let answers = match inner.desk.waiting() {
+        let result = change(&mut inner.scheduler, now);
+        let answers = match inner.scheduler.waiting() {
             0 => Vec::new(),
-            _ => inner.desk.pump(now),
+            _ => inner.scheduler.schedule(now),
         };
-        for (ticket, answer) in answers {
-            inner.deliver(ticket, answer);
+        for (queue_id, answer) in answers {
+            inner.deliver(queue_id, answer);
         }
         result
     }
 
-    /// Takes an observation that frees nothing, so that nobody's answer changes by it.
-    pub fn note(&self, note: impl FnOnce(&mut PlaceDesk, Duration)) {
-        let mut inner = self.inner.lock().expect("desk");
+    /// Records an observation that frees no capacity, so that no waiting request has to be retried.
+    pub fn record(&self, record: impl FnOnce(&mut EngineScheduler, Duration)) {
+        let mut inner = self.inner.lock().expect("scheduler lock");
         let now = self.now();
-        note(&mut inner.desk, now);
+        record(&mut inner.scheduler, now);
     }
 
-    /// Waits for the desk's answer; a caller that stops waiting leaves nothing behind.
-    pub async fn ask(&self, mut request: PlaceRequest) -> DeskAnswer {
-        let ticket = self.next_ticket.fetch_add(1, Ordering::Relaxed);
-        request.ticket = ticket;
+    /// Waits for the answer to a request. If the caller stops waiting, the request is removed and its engines
+    /// are released.
+    pub async fn place(&self, mut request: PlacementRequest) -> PlacementAnswer {
+        let queue_id = self.next_queue_id.fetch_add(1, Ordering::Relaxed);
+        request.queue_id = queue_id;
         let tokens = request.tokens;
         let (sender, receiver) = oneshot::channel();
         self.inner
             .lock()
-            .expect("desk")
+            .expect("scheduler lock")
             .answers
-            .insert(ticket, sender);
-        let mut question = OpenQuestion {
-            desk: self,
-            ticket,
+            .insert(queue_id, sender);
+        let mut pending = PendingRequest {
+            scheduler: self,
+            queue_id,
             tokens,
             receiver,
         };
-        self.change(|desk, _| desk.ask(request));
-        self.asked.notify_one();
-        match (&mut question.receiver).await {
+        self.change(|scheduler, _| scheduler.enqueue(request));
+        self.request_added.notify_one();
+        match (&mut pending.receiver).await {
             Ok(answer) => answer,
             Err(_) => {
                 let text = "the host's desk is gone";
-                DeskAnswer::Refused(Refusal::not_run(RefusalCode::Stopping, text))
+                PlacementAnswer::Refused(Refusal::not_run(RefusalCode::Stopping, text))
             }
         }
     }
 
-    /// Looks at the waiting requests from time to time, for as long as the host runs.
-    pub async fn run_pump(self: Arc<Self>) {
+    /// Retries the waiting requests periodically, for as long as the host runs.
+    pub async fn run_periodically(self: Arc<Self>) {
         loop {
-            if self.read(PlaceDesk::waiting) == 0 {
-                self.asked.notified().await;
+            if self.read(EngineScheduler::waiting) == 0 {
+                self.request_added.notified().await;
             }
-            tokio::time::sleep(PUMP_PERIOD).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
             self.change(|_, _| ());
         }
     }
 
-    fn undo(&self, answer: DeskAnswer, tokens: u64) {
-        self.change(|desk, now| undo(desk, answer, tokens, now));
+    fn undo(&self, answer: PlacementAnswer, tokens: u64) {
+        self.change(|scheduler, now| undo(scheduler, answer, tokens, now));
     }
 }
 
-fn undo(desk: &mut PlaceDesk, answer: DeskAnswer, tokens: u64, now: Duration) {
-    if let DeskAnswer::Placed { prefill, decode } = answer {
+fn undo(scheduler: &mut EngineScheduler, answer: PlacementAnswer, tokens: u64, now: Duration) {
+    if let PlacementAnswer::Placed { prefill, decode } = answer {
         if let Some(prefill) = prefill {
-            desk.prefill_ended(&prefill, tokens, None, now);
+            scheduler.prefill_ended(&prefill, tokens, None, now);
         }
-        desk.decode_ended(&decode);
+        scheduler.decode_ended(&decode);
     }
 }
 
-impl DeskInner {
-    // Nobody may be waiting any more: OpenQuestion's drop has taken the sender out then.
-    fn deliver(&mut self, ticket: u64, answer: DeskAnswer) {
-        let sender = self.answers.remove(&ticket);
-        debug_assert!(sender.is_some(), "a question is answered once");
+impl SchedulerState {
+    // If the caller has stopped waiting, the drop of PendingRequest has removed the sender.
+    fn deliver(&mut self, queue_id: u64, answer: PlacementAnswer) {
+        let sender = self.answers.remove(&queue_id);
+        debug_assert!(sender.is_some(), "a request is answered once");
         if let Some(sender) = sender {
-            // A receiver that is gone meanwhile finds the answer in its drop.
+            // If the receiver is being dropped, its drop handles the answer.
             let _ = sender.send(answer);
         }
     }
 }
 
-struct OpenQuestion<'a> {
-    desk: &'a SharedDesk,
-    ticket: u64,
+struct PendingRequest<'a> {
+    scheduler: &'a SharedScheduler,
+    queue_id: u64,
     tokens: u64,
-    receiver: oneshot::Receiver<DeskAnswer>,
+    receiver: oneshot::Receiver<PlacementAnswer>,
 }
 
-impl Drop for OpenQuestion<'_> {
+impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
         {
-            let mut inner = self.desk.inner.lock().expect("desk");
-            inner.answers.remove(&self.ticket);
-            inner.desk.withdraw(self.ticket);
+            let mut inner = self.scheduler.inner.lock().expect("scheduler lock");
+            inner.answers.remove(&self.queue_id);
+            inner.scheduler.cancel(self.queue_id);
         }
-        // An answer that was given and not read gives its places back.
+        // Release the engines of an answer that was never read.
         if let Ok(answer) = self.receiver.try_recv() {
-            self.desk.undo(answer, self.tokens);
+            self.scheduler.undo(answer, self.tokens);
         }
     }
 }
--- a/src/route/tests.rs
+++ b/src/route/tests.rs
@@ -2,10 +2,10 @@
 
 use {
     super::{
-        desk::PlaceDesk,
-        place::{DeskAnswer, PlaceRequest, PlaceStage},
+        placement::{PlacementAnswer, PlacementRequest, PlacementStage},
         policy::RouteTuning,
-        shared::SharedDesk,
+        scheduler::EngineScheduler,
+        shared::SharedScheduler,
         view::EngineInfo,
     },
     crate::{
@@ -49,22 +49,22 @@
     }
 }
 
-// One prefill engine and two decode engines, the second one busier.
-fn desk() -> PlaceDesk {
-    let mut desk = PlaceDesk::new(ZONE, RouteTuning::default(), 1);
+// One prefill engine and two decode engines, the second with a higher load.
+fn scheduler() -> EngineScheduler {
+    let mut scheduler = EngineScheduler::new(ZONE, RouteTuning::default(), 1);
     let engines = [("p", "prefill"), ("d1", "decode"), ("d2", "decode")];
     let infos = engines.map(|(name, role)| (info(name, role), false));
-    desk.set_engines(infos.into());
-    desk.reported("p", report(EngineRole::Prefill, 0, 0), Duration::ZERO);
-    desk.reported("d1", report(EngineRole::Decode, 2, 0), Duration::ZERO);
-    desk.reported("d2", report(EngineRole::Decode, 9, 0), Duration::ZERO);
-    desk
+    scheduler.set_engines(infos.into());
+    scheduler.reported("p", report(EngineRole::Prefill, 0, 0), Duration::ZERO);
+    scheduler.reported("d1", report(EngineRole::Decode, 2, 0), Duration::ZERO);
+    scheduler.reported("d2", report(EngineRole::Decode, 9, 0), Duration::ZERO);
+    scheduler
 }
 
-fn request(ticket: u64, tokens: u64, arrived: Duration) -> PlaceRequest {
-    PlaceRequest {
-        ticket,
-        request: FastStr::from_string(format!("r{ticket}")),
+fn request(queue_id: u64, tokens: u64, arrived: Duration) -> PlacementRequest {
+    PlacementRequest {
+        queue_id,
+        request: FastStr::from_string(format!("r{queue_id}")),
         model: MODEL,
         prefills: Arc::new([LabelSelector::label("role", "prefill")]),
         decodes: Arc::new([LabelSelector::label("role", "decode")]),
@@ -74,98 +74,99 @@
         arrived,
         resumed: false,
         excluded: Vec::new(),
-        stage: PlaceStage::Whole,
+        stage: PlacementStage::PrefillAndDecode,
     }
 }
 
-fn code(answer: &DeskAnswer) -> Option<RefusalCode> {
+fn code(answer: &PlacementAnswer) -> Option<RefusalCode> {
     match answer {
-        DeskAnswer::Refused(refusal) => Some(refusal.code),
-        DeskAnswer::Placed { .. } => None,
+        PlacementAnswer::Refused(refusal) => Some(refusal.code),
+        PlacementAnswer::Placed { .. } => None,
     }
 }
 
 #[test]
-fn the_least_used_decode_engine_is_chosen_and_counted_at_once() {
-    let mut desk = desk();
-    desk.ask(request(1, 100, Duration::ZERO));
-    let answers = desk.pump(Duration::ZERO);
-    let DeskAnswer::Placed { prefill, decode } = &answers[0].1 else {
-        panic!("placed");
+fn least_used_decode_engine_is_chosen_and_counted_at_once() {
+    let mut scheduler = scheduler();
+    scheduler.enqueue(request(1, 100, Duration::ZERO));
+    let answers = scheduler.schedule(Duration::ZERO);
+    let PlacementAnswer::Placed { prefill, decode } = &answers[0].1 else {
+        panic!("expected a placement");
     };
     assert_eq!((prefill.as_deref(), decode.as_str()), (Some("p"), "d1"));
-    assert_eq!(desk.view("d1").expect("known").slots_used(), 3);
+    assert_eq!(scheduler.view("d1").expect("known").slots_used(), 3);
 }
 
 #[test]
-fn what_would_be_late_is_refused_before_its_prefill() {
-    let mut desk = desk();
-    desk.reported("p", report(EngineRole::Prefill, 0, 60_000), Duration::ZERO);
-    desk.ask(request(1, 100, Duration::ZERO));
-    let answers = desk.pump(Duration::ZERO);
+fn late_request_is_refused_before_its_prefill() {
+    let mut scheduler = scheduler();
+    scheduler.reported("p", report(EngineRole::Prefill, 0, 60_000), Duration::ZERO);
+    scheduler.enqueue(request(1, 100, Duration::ZERO));
+    let answers = scheduler.schedule(Duration::ZERO);
     assert_eq!(code(&answers[0].1), Some(RefusalCode::Overloaded));
-    assert_eq!(desk.view("p").expect("known").own_work(), (0, 0));
+    assert_eq!(scheduler.view("p").expect("known").own_work(), (0, 0));
 }
 
 #[test]
-fn a_request_waits_for_a_slot_and_takes_it_when_it_is_free() {
-    let mut desk = desk();
+fn request_waits_for_a_slot_and_takes_it_once_free() {
+    let mut scheduler = scheduler();
     for engine in ["d1", "d2"] {
-        desk.reported(engine, report(EngineRole::Decode, 20, 0), Duration::ZERO);
+        scheduler.reported(engine, report(EngineRole::Decode, 20, 0), Duration::ZERO);
     }
-    desk.ask(request(1, 100, Duration::ZERO));
-    assert!(desk.pump(Duration::ZERO).is_empty());
+    scheduler.enqueue(request(1, 100, Duration::ZERO));
+    assert!(scheduler.schedule(Duration::ZERO).is_empty());
     let later = Duration::from_millis(100);
-    desk.reported("d2", report(EngineRole::Decode, 5, 0), later);
-    let answers = desk.pump(later);
+    scheduler.reported("d2", report(EngineRole::Decode, 5, 0), later);
+    let answers = scheduler.schedule(later);
     assert_eq!(code(&answers[0].1), None);
 }
 
 #[test]
-fn a_leaving_engine_is_not_chosen() {
-    let mut desk = desk();
-    desk.set_leaving("d1", true);
-    desk.heard_leaving("d2", Duration::from_secs(5));
-    desk.ask(request(1, 100, Duration::ZERO));
-    let answers = desk.pump(Duration::ZERO);
+fn leaving_engine_is_not_chosen() {
+    let mut scheduler = scheduler();
+    scheduler.set_leaving("d1", true);
+    scheduler.peer_reported_leaving("d2", Duration::from_secs(5));
+    scheduler.enqueue(request(1, 100, Duration::ZERO));
+    let answers = scheduler.schedule(Duration::ZERO);
     assert_eq!(code(&answers[0].1), Some(RefusalCode::NoBackend));
 }
 
-// Found by `bayplank load --streams 5000`: a clock read before the lock made time go back.
+// Guards against a scheduler whose time goes backwards, which happened under `bayplank load --streams 5000`
+// when the clock was read before the lock was taken.
 #[test]
-fn a_pump_with_an_earlier_time_than_the_last_does_no_harm() {
-    let mut desk = desk();
-    for (ticket, at) in [(1, 20), (2, 10), (3, 15)] {
+fn scheduling_with_an_earlier_time_is_harmless() {
+    let mut scheduler = scheduler();
+    for (queue_id, at) in [(1, 20), (2, 10), (3, 15)] {
         let now = Duration::from_millis(at);
-        desk.ask(request(ticket, 10, now));
-        desk.ask(request(ticket + 10, 10, now));
-        desk.pump(now);
+        scheduler.enqueue(request(queue_id, 10, now));
+        scheduler.enqueue(request(queue_id + 10, 10, now));
+        scheduler.schedule(now);
     }
 }
 
 #[test]
-fn who_stops_waiting_leaves_nothing_behind() {
+fn cancelled_wait_releases_everything() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
         .build()
         .expect("a runtime");
     runtime.block_on(async {
-        let shared = SharedDesk::new(ZONE, RouteTuning::default(), 1, HostClock::of_runtime());
-        shared.change(|desk, now| {
-            desk.set_engines(vec![
+        let shared = SharedScheduler::new(ZONE, RouteTuning::default(), 1, HostClock::of_runtime());
+        shared.change(|scheduler, now| {
+            scheduler.set_engines(vec![
                 (info("p", "prefill"), false),
                 (info("d1", "decode"), false),
             ]);
-            desk.reported("p", report(EngineRole::Prefill, 0, 0), now);
-            desk.reported("d1", report(EngineRole::Decode, 20, 0), now);
+            scheduler.reported("p", report(EngineRole::Prefill, 0, 0), now);
+            scheduler.reported("d1", report(EngineRole::Decode, 20, 0), now);
         });
-        let asked = shared.ask(request(0, 100, Duration::ZERO));
-        let waited = tokio::time::timeout(Duration::from_millis(50), asked).await;
-        assert!(waited.is_err(), "no slot is free");
-        shared.read(|desk| {
-            assert_eq!(desk.waiting(), 0);
-            assert_eq!(desk.view("p").expect("known").own_work(), (0, 0));
+        let placement = shared.place(request(0, 100, Duration::ZERO));
+        let waited = tokio::time::timeout(Duration::from_millis(50), placement).await;
+        assert!(waited.is_err(), "no decode slot is free");
+        shared.read(|scheduler| {
+            assert_eq!(scheduler.waiting(), 0);
+            assert_eq!(scheduler.view("p").expect("known").own_work(), (0, 0));
         });
     });
 }
