--- a/tests/fleet_sim/crashes.rs
+++ b/tests/fleet_sim/crashes.rs
@@ -1,35 +1,37 @@
-//! How hosts of the fleet tell each other which requests end servers.
+//! Exchange between simulated hosts of the requests that crash servers.
 
 use {
-    super::{PATIENCE, STEP, SimFleet, SimTrouble},
+    super::{QUERY_TIMEOUT, STEP, SimFaults, SimFleet},
     bayplank::relay::{
-        CachePosition, CrashBook, CrashJudgement, CrashMark, EngineKey, MarkSource, RequestDigest,
+        CachePosition, CrashReport, CrashTracker, CrashVerdict, EngineKey, FindingSource,
+        RequestDigest,
     },
     faststr::FastStr,
     rand::seq::SliceRandom,
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Pause before what was not taken is told again, and between looks for another host to tell; as the product has them.
-const AGAIN: u64 = 200;
-const LOOK: u64 = 1_000;
+/// Pause before a failed report is sent again, as in the relay.
+const RESEND_PAUSE: u64 = 200;
+/// Pause between checks for something to report or a host to report to, as in the relay.
+const CHECK_INTERVAL: u64 = 1_000;
 
-/// How long a host of another zone that did not answer is passed over.
-const PASS_OVER: u64 = 2_000;
+/// How long a host of another zone that did not respond is skipped.
+const SKIP_TIME: u64 = 2_000;
 
-/// Bytes of a mark in messages, and of each end in it.
+/// Message size of a mark, and of each server crash in it.
 const MARK_BYTES: u64 = 40;
 const END_BYTES: u64 = 16;
 
 pub struct SimCrashes {
-    pub book: CrashBook,
-    // Up to where this host was told of each other's book.
-    places: BTreeMap<usize, CachePosition>,
-    // Up to which revision of its own book it has told the head of its zone, or another zone.
-    told: BTreeMap<(FastStr, bool), u64>,
-    // Hosts of zones that did not answer, and until when none of it is sent to them.
-    passed_over: BTreeMap<usize, u64>,
-    next_look: u64,
+    pub book: CrashTracker,
+    // Position up to which this host received each other host's book.
+    positions: BTreeMap<usize, CachePosition>,
+    // Revision of its own book up to which it has reported to the head of its zone, or to another zone.
+    reported: BTreeMap<(FastStr, bool), u64>,
+    // Hosts of other zones that did not respond, and until when nothing is sent to them.
+    skipped: BTreeMap<usize, u64>,
+    next_check: u64,
     has_learned: bool,
     pub sent_bytes: u64,
 }
@@ -37,21 +39,21 @@
 impl SimCrashes {
     pub fn new(id: u64) -> Self {
         Self {
-            book: CrashBook::new(id),
-            places: BTreeMap::new(),
-            told: BTreeMap::new(),
-            passed_over: BTreeMap::new(),
-            next_look: 0,
+            book: CrashTracker::new(id),
+            positions: BTreeMap::new(),
+            reported: BTreeMap::new(),
+            skipped: BTreeMap::new(),
+            next_check: 0,
             has_learned: false,
             sent_bytes: 0,
         }
     }
 }
 
-fn bytes_of(marks: &[CrashMark]) -> u64 {
+fn bytes_of(marks: &[CrashReport]) -> u64 {
     let sizes = marks.iter();
     sizes
-        .map(|mark| MARK_BYTES + END_BYTES * mark.ends.len() as u64)
+        .map(|mark| MARK_BYTES + END_BYTES * mark.crashes.len() as u64)
         .sum()
 }
 
@@ -60,54 +62,52 @@
         Duration::from_millis(self.now)
     }
 
-    /// A server's run ends under a request of a host.
-    pub fn end_under(&mut self, index: usize, digest: u128, run: u32) {
+    /// Records that a run of a server crashed while it served a request of a host.
+    pub fn crash_under(&mut self, index: usize, digest: u128, run: u32) {
         let now = self.crash_now();
         let crashes = &mut self.hosts[index].crashes;
         crashes
             .book
-            .note_end(RequestDigest(digest), EngineKey(run), now);
-        crashes.next_look = self.now;
+            .record_crash(RequestDigest(digest), EngineKey(run), now);
+        crashes.next_check = self.now;
     }
 
-    /// Whether a host holds a request for one that ends its servers.
-    pub fn holds_fatal(&self, index: usize, digest: u128) -> bool {
+    /// Whether a host considers a request fatal, that is, one that crashes its servers.
+    pub fn considers_fatal(&self, index: usize, digest: u128) -> bool {
         let book = &self.hosts[index].crashes.book;
-        let judgement = book.judge(RequestDigest(digest), self.crash_now());
-        matches!(
-            judgement,
-            CrashJudgement::Fatal(_) | CrashJudgement::TrialDue
-        )
+        let judgement = book.verdict(RequestDigest(digest), self.crash_now());
+        matches!(judgement, CrashVerdict::Fatal(_) | CrashVerdict::TrialDue)
     }
 
-    /// Runs until all hosts that are up and that `counts` names hold a request for fatal; gives how long that took.
+    /// Runs until all hosts that are up and in a zone that `counts` accepts consider a request fatal, and returns how
+    /// long that took.
     pub fn time_to_judge(
         &mut self,
-        trouble: &SimTrouble,
+        faults: &SimFaults,
         digest: u128,
         counts: impl Fn(&str) -> bool,
         bound: u64,
     ) -> u64 {
         let start = self.now;
         loop {
-            let lacking = (0..self.hosts.len()).filter(|index| {
+            let unaware = (0..self.hosts.len()).filter(|index| {
                 let host = &self.hosts[*index];
-                host.is_up && counts(&host.entry.zone) && !self.holds_fatal(*index, digest)
+                host.is_up && counts(&host.entry.zone) && !self.considers_fatal(*index, digest)
             });
-            let lacking = lacking.count();
-            if lacking == 0 {
+            let unaware = unaware.count();
+            if unaware == 0 {
                 return self.now - start;
             }
             assert!(
                 self.now - start < bound,
-                "{lacking} hosts do not know within {bound} ms"
+                "{unaware} hosts do not know of the fatal request within {bound} ms"
             );
-            self.run(trouble, STEP);
+            self.run(faults, STEP);
         }
     }
 
-    /// A host that knows the others asks three of them, one of its own zone, before it is ready.
-    pub(super) fn learn_crashes(&mut self, index: usize, trouble: &SimTrouble) {
+    /// Once it knows the other hosts, a starting host queries three of them, one of its own zone, before it is ready.
+    pub(super) fn learn_crashes(&mut self, index: usize, faults: &SimFaults) {
         if self.hosts[index].crashes.has_learned || !self.hosts[index].knows_hosts {
             return;
         }
@@ -120,32 +120,34 @@
         others.swap(1, self.hosts.len() - 2);
         for other in others.into_iter().take(3) {
             let entry = &self.hosts[other].entry;
-            if self.hosts[other].is_up && (trouble.path)(&own, entry) {
+            if self.hosts[other].is_up && (faults.path)(&own, entry) {
                 self.take_crashes(index, other);
             }
         }
     }
 
     pub(super) fn has_crash_news(&self, index: usize, from: usize) -> bool {
-        let known = self.hosts[index].crashes.places.get(&from).copied();
+        let known = self.hosts[index].crashes.positions.get(&from).copied();
         let book = &self.hosts[from].crashes.book;
-        let news = book.news_since(known.unwrap_or_default(), self.crash_now());
-        !news.marks.is_empty()
+        let news = book.updates_since(known.unwrap_or_default(), self.crash_now());
+        !news.findings.is_empty()
     }
 
     pub(super) fn take_crashes(&mut self, index: usize, from: usize) {
         let now = self.crash_now();
-        let known = self.hosts[index].crashes.places.get(&from).copied();
-        let teller = &mut self.hosts[from].crashes;
-        let news = teller.book.news_since(known.unwrap_or_default(), now);
-        teller.sent_bytes += bytes_of(&news.marks);
+        let known = self.hosts[index].crashes.positions.get(&from).copied();
+        let sender = &mut self.hosts[from].crashes;
+        let news = sender.book.updates_since(known.unwrap_or_default(), now);
+        sender.sent_bytes += bytes_of(&news.findings);
         let crashes = &mut self.hosts[index].crashes;
-        crashes.book.take(&news.marks, MarkSource::Told, now);
-        crashes.places.insert(from, news.place);
+        crashes
+            .book
+            .merge(&news.findings, FindingSource::Distributed, now);
+        crashes.positions.insert(from, news.position);
     }
 
-    pub(super) fn tell_crashes(&mut self, index: usize, trouble: &SimTrouble) {
-        if self.now < self.hosts[index].crashes.next_look || !self.hosts[index].knows_hosts {
+    pub(super) fn report_crashes(&mut self, index: usize, faults: &SimFaults) {
+        if self.now < self.hosts[index].crashes.next_check || !self.hosts[index].knows_hosts {
             return;
         }
         let now = self.local_now(index);
@@ -153,21 +155,21 @@
             Some(head) => vec![(head.name.clone(), self.place_of(&head.name), false)],
             None => self.zone_targets(index),
         };
-        // What an earlier head had heard may have ended with it. Zones stay.
-        let told = &mut self.hosts[index].crashes.told;
-        told.retain(|(name, is_zone), _| {
+        // A previous head may have died with what was reported to it. Other zones still have it.
+        let reported = &mut self.hosts[index].crashes.reported;
+        reported.retain(|(name, is_zone), _| {
             *is_zone || targets.iter().any(|target| target.0 == *name)
         });
-        let mut all_told = true;
+        let mut all_reported = true;
         for (name, to, is_zone) in targets {
-            all_told &= self.tell_one(index, name, to, is_zone, trouble);
+            all_reported &= self.report_crashes_to(index, name, to, is_zone, faults);
         }
-        let pause = match all_told {
-            true => LOOK,
-            // A connection that hangs is waited for besides.
-            false => AGAIN + PATIENCE,
+        let pause = match all_reported {
+            true => CHECK_INTERVAL,
+            // A hanging connection also takes its timeout.
+            false => RESEND_PAUSE + QUERY_TIMEOUT,
         };
-        self.hosts[index].crashes.next_look = self.now + pause;
+        self.hosts[index].crashes.next_check = self.now + pause;
     }
 
     fn place_of(&self, name: &str) -> usize {
@@ -186,9 +188,9 @@
                     .push(place);
             }
         }
-        let passed_over = &self.hosts[index].crashes.passed_over;
+        let skipped = &self.hosts[index].crashes.skipped;
         let until = |place: &usize| {
-            let until = passed_over.get(place).copied();
+            let until = skipped.get(place).copied();
             until.filter(|until| self.now < *until).unwrap_or_default()
         };
         let targets = zones.into_iter().map(|(zone, places)| {
@@ -198,55 +200,55 @@
         targets.collect()
     }
 
-    fn tell_one(
+    fn report_crashes_to(
         &mut self,
         index: usize,
         name: FastStr,
         to: usize,
         is_zone: bool,
-        trouble: &SimTrouble,
+        faults: &SimFaults,
     ) -> bool {
         let now = self.crash_now();
         let crashes = &self.hosts[index].crashes;
-        let told = crashes.told.get(&(name.clone(), is_zone)).copied();
+        let reported = crashes.reported.get(&(name.clone(), is_zone)).copied();
         let since = match is_zone {
-            true => Some(told.unwrap_or_default()),
-            false => told,
+            true => Some(reported.unwrap_or_default()),
+            false => reported,
         };
         let marks = crashes.book.reported_since(since, now);
-        let revision = crashes.book.place().revision;
+        let revision = crashes.book.position().revision;
         if marks.is_empty() {
-            let told = &mut self.hosts[index].crashes.told;
-            told.insert((name, is_zone), revision);
+            let reported = &mut self.hosts[index].crashes.reported;
+            reported.insert((name, is_zone), revision);
             return true;
         }
         let (from, other) = (&self.hosts[index].entry, &self.hosts[to]);
-        let is_heard = other.is_up && (trouble.path)(from, &other.entry);
-        if !is_heard {
+        let is_reachable = other.is_up && (faults.path)(from, &other.entry);
+        if !is_reachable {
             let local = self.local_now(index);
             let host = &mut self.hosts[index];
             match is_zone {
                 true => {
-                    host.crashes.passed_over.insert(to, self.now + PASS_OVER);
+                    host.crashes.skipped.insert(to, self.now + SKIP_TIME);
                 }
-                false => host.choice.note_unreported(&name, local),
+                false => host.choice.note_report_failed(&name, local),
             }
             return false;
         }
         let is_head = other.choice.head(self.local_now(to)).is_none();
         let source = match is_zone && is_head {
-            true => MarkSource::Told,
-            false => MarkSource::Reported,
+            true => FindingSource::Distributed,
+            false => FindingSource::Reported,
         };
         let at = &mut self.hosts[to].crashes;
-        let before = at.book.place();
-        at.book.take(&marks, source, now);
-        if at.book.place() != before {
-            at.next_look = self.now;
+        let before = at.book.position();
+        at.book.merge(&marks, source, now);
+        if at.book.position() != before {
+            at.next_check = self.now;
         }
         let crashes = &mut self.hosts[index].crashes;
         crashes.sent_bytes += bytes_of(&marks);
-        crashes.told.insert((name, is_zone), revision);
+        crashes.reported.insert((name, is_zone), revision);
         true
     }
 }
--- a/tests/fleet_sim/mod.rs
+++ b/tests/fleet_sim/mod.rs
@@ -1,6 +1,6 @@
-//! Hundreds of hosts as state machines on a clock of their own, before a store that may misbehave.
+//! Simulation of hundreds of hosts and a faulty store in virtual time.
 //!
-//! Each host's choice is the code that runs; the store, the questions between hosts and the time are this file's.
+//! Each host runs the real `SourceSelector`; the store, the queries between hosts and the clock are simulated here.
 
 #[allow(dead_code)]
 pub mod crashes;
@@ -10,67 +10,71 @@
 use {
     self::crashes::SimCrashes,
     bayplank::relay::{
-        self, FOLLOWER_PAUSES, HostEntry, NewsSource, READER_PAUSES, SourceChoice, SourceRules,
+        self, FOLLOWER_BACKOFF, HostEntry, READER_BACKOFF, SourceSelector, SourceSettings,
+        UpdateSource,
     },
     faststr::FastStr,
     rand::{RngExt, SeedableRng, rngs::StdRng, seq::IndexedRandom},
     std::time::Duration,
 };
 
-/// Length of a step, milliseconds.
+/// Length of a simulation step in milliseconds, the unit of all times here.
 pub const STEP: u64 = 25;
-/// Where changes have to be in force within four seconds: news are old after 1.8.
+/// Time within which changes have to take effect; it makes data stale after 1.8 s.
 const CHANGE_TIME: Duration = Duration::from_secs(4);
-/// How long a watch waits, as the product has it there.
-const WATCH: u64 = 900;
-/// How long a question waits for something newer, and how long its silence is borne.
-const QUESTION: u64 = 300;
-const PATIENCE: u64 = 400;
-/// How often hosts report to their head.
-const REPORT: u64 = 600;
-/// A look of a host that reads.
-const LOOK: u64 = 350;
-/// Calls that a host makes which reads everything at its start: the configuration, a list that lags, its watch.
+/// Wait of a reader's watch, as the relay sets it for this change time.
+const WATCH_WAIT: u64 = 900;
+/// How long a query waits for something newer.
+const QUERY_WAIT: u64 = 300;
+/// Timeout of a query to a host that does not respond.
+const QUERY_TIMEOUT: u64 = 400;
+/// Interval between a host's reports to its head.
+const REPORT_INTERVAL: u64 = 600;
+/// Interval between the reads of a host that reads the store without being a reader.
+const READ_INTERVAL: u64 = 350;
+/// Calls of a starting host that reads everything: the configuration, a list that lags, its watch.
 const START_CALLS: u64 = 3;
-/// Kinds that are watched.
+/// Number of watched object kinds.
 pub const KINDS: u64 = 2;
-/// Calls more of a host that reads a restored store: its watches and that of the hosts are refused, the lists are read.
+/// Extra calls of a host that reads a restored store: its watches and that of the hosts are rejected, and it rereads
+/// the lists.
 const RESTORE_CALLS: u64 = KINDS + 2;
 
 pub struct SimHost {
     pub entry: HostEntry,
-    pub choice: SourceChoice,
+    pub choice: SourceSelector,
     pub started: u64,
     pub is_up: bool,
     pub knows_hosts: bool,
-    // Until when its view is known to be the newest, and what it shows.
+    // Last time at which its data was known to be current.
     pub confirmed: Option<u64>,
     pub version: u64,
     pub era: u32,
-    // Whole lists that others were told since the store was restored.
-    pub told_whole: u64,
-    // When its configuration was surely the newest: the sending of a call that was answered.
+    // Full lists that it sent to other hosts since the store was restored.
+    pub full_lists_sent: u64,
+    // Last time at which its configuration was proved current: the send time of a call that got a response.
     pub proved: Option<u64>,
-    // When its last watch was sent; it is answered when the host looks again.
+    // Send time of its last watch, which gets its response when the host reads again.
     pub watched: Option<u64>,
-    // What it waits for, until then.
+    // Time of its next action, or start of the query in flight.
     pub busy_until: u64,
+    // The host that it queries.
     pub asked: Option<usize>,
     pub failures: u32,
-    // The store fails to answer it, or whom it follows.
+    // Whether the store does not respond to it or to the host that it follows.
     pub is_lost: bool,
-    // The host that reported the newest view, and until when that was the newest.
+    // The host that reported the newest data, and the time at which that was current.
     pub newest: Option<(usize, u64)>,
     pub crashes: SimCrashes,
 }
 
-/// Whom the store answers, and who hears whom.
-pub struct SimTrouble {
+/// Faults: which hosts the store serves, and which hosts can reach each other.
+pub struct SimFaults {
     pub store: fn(&HostEntry) -> bool,
     pub path: fn(&HostEntry, &HostEntry) -> bool,
 }
 
-pub const CALM: SimTrouble = SimTrouble {
+pub const NO_FAULTS: SimFaults = SimFaults {
     store: |_| true,
     path: |_, _| true,
 };
@@ -95,7 +99,7 @@
                 name: FastStr::from_string(format!("{zone}-{index}")),
                 zone: FastStr::new(zone),
                 peers: "127.0.0.1:9".parse().unwrap(),
-                // The first of each zone is its head.
+                // The first host of each zone is its head.
                 link_mbps: [300, 200, 200].get(index).copied().unwrap_or(20),
             });
         }
@@ -103,18 +107,18 @@
     entries
 }
 
-fn choice_of(entry: &HostEntry, patience: u64, told: u64) -> SourceChoice {
-    SourceChoice::new(SourceRules {
+fn choice_of(entry: &HostEntry, start_wait: u64, seed_wait: u64) -> SourceSelector {
+    SourceSelector::new(SourceSettings {
         own: entry.name.clone(),
         zone: entry.zone.clone(),
-        old_news: relay::old_news(CHANGE_TIME),
-        start_patience: Duration::from_millis(patience),
-        told_patience: Duration::from_millis(told),
+        stale_age: relay::stale_age(CHANGE_TIME),
+        start_wait: Duration::from_millis(start_wait),
+        seed_wait: Duration::from_millis(seed_wait),
     })
 }
 
 impl SimFleet {
-    /// A fleet that has run for a while.
+    /// A fleet in its steady state.
     pub fn running(zones: usize, hosts: usize) -> Self {
         let entries = entries(zones, hosts);
         let mut fleet = Self {
@@ -129,7 +133,7 @@
         for entry in &entries {
             let mut choice = choice_of(entry, 0, 0);
             choice.set_hosts(entries.iter());
-            choice.note_heard("", Duration::from_secs(10));
+            choice.note_response("", Duration::from_secs(10));
             fleet.hosts.push(SimHost {
                 entry: entry.clone(),
                 choice,
@@ -139,10 +143,10 @@
                 confirmed: Some(9_900),
                 version: 1,
                 era: 1,
-                told_whole: 0,
+                full_lists_sent: 0,
                 proved: Some(9_900),
                 watched: None,
-                busy_until: 10_000 + fleet.rng.random_range(0..QUESTION),
+                busy_until: 10_000 + fleet.rng.random_range(0..QUERY_WAIT),
                 asked: None,
                 failures: 0,
                 is_lost: false,
@@ -150,15 +154,15 @@
                 crashes: SimCrashes::new(fleet.hosts.len() as u64 + 1),
             });
         }
-        fleet.run(&CALM, 3_000);
+        fleet.run(&NO_FAULTS, 3_000);
         fleet.calls = 0;
         fleet
     }
 
-    /// Starts a host anew; it knows nothing.
+    /// Restarts a host without any data.
     pub fn restart(&mut self, index: usize) {
         let is_seed = self.seeds.contains(&index);
-        let (patience, told) = match is_seed {
+        let (start_wait, seed_wait) = match is_seed {
             true => (60, 60),
             false => (
                 self.rng.random_range(150..350),
@@ -166,7 +170,7 @@
             ),
         };
         let host = &mut self.hosts[index];
-        host.choice = choice_of(&host.entry, patience, told);
+        host.choice = choice_of(&host.entry, start_wait, seed_wait);
         host.started = self.now;
         host.busy_until = self.now;
         (host.is_up, host.knows_hosts) = (true, false);
@@ -177,38 +181,41 @@
         host.crashes = SimCrashes::new(self.rng.random());
     }
 
-    pub fn run(&mut self, trouble: &SimTrouble, time: u64) {
+    pub fn run(&mut self, faults: &SimFaults, time: u64) {
         let end = self.now + time;
         while self.now < end {
             for index in 0..self.hosts.len() {
                 if self.hosts[index].is_up {
-                    self.step(index, trouble);
+                    self.step(index, faults);
                 }
             }
             self.now += STEP;
         }
     }
 
-    // Runs until all that are up know the newest version; gives how long that took.
-    pub fn time_to_force(&mut self, trouble: &SimTrouble, bound: u64) -> u64 {
+    /// Runs until all hosts that are up have the newest version and returns how long that took.
+    pub fn time_to_apply(&mut self, faults: &SimFaults, bound: u64) -> u64 {
         let start = self.now;
         while self
             .hosts
             .iter()
             .any(|host| host.is_up && host.version < self.version)
         {
-            assert!(self.now - start < bound, "not in force within {bound} ms");
-            self.run(trouble, STEP);
+            assert!(
+                self.now - start < bound,
+                "change did not reach all hosts within {bound} ms"
+            );
+            self.run(faults, STEP);
         }
         self.now - start
     }
 
-    fn step(&mut self, index: usize, trouble: &SimTrouble) {
-        self.report(index, trouble);
-        self.learn_crashes(index, trouble);
-        self.tell_crashes(index, trouble);
+    fn step(&mut self, index: usize, faults: &SimFaults) {
+        self.report(index, faults);
+        self.learn_crashes(index, faults);
+        self.report_crashes(index, faults);
         if let Some(asked) = self.hosts[index].asked {
-            self.hear(index, asked, trouble);
+            self.poll_query(index, asked, faults);
             return;
         }
         let reads_newer =
@@ -217,8 +224,8 @@
             return;
         }
         match self.choose(index) {
-            NewsSource::Store => self.read(index, trouble),
-            NewsSource::Host(entry) => {
+            UpdateSource::Store => self.read(index, faults),
+            UpdateSource::Host(entry) => {
                 let asked = self
                     .hosts
                     .iter()
@@ -227,7 +234,7 @@
                 self.hosts[index].busy_until = self.now;
                 self.hosts[index].failures = 0;
             }
-            NewsSource::Seeds => self.ask_seed(index, trouble),
+            UpdateSource::Seeds => self.query_seed(index, faults),
         }
     }
 
@@ -236,7 +243,7 @@
         (host.era, host.version)
     }
 
-    fn choose(&mut self, index: usize) -> NewsSource {
+    fn choose(&mut self, index: usize) -> UpdateSource {
         let now = self.now;
         let host = &mut self.hosts[index];
         let age = host.confirmed.map(|at| Duration::from_millis(now - at));
@@ -248,23 +255,23 @@
         Duration::from_millis(self.now - self.hosts[index].started)
     }
 
-    // A question waits at whom it was asked until there is something newer, or its wait is over.
-    fn hear(&mut self, index: usize, asked: usize, trouble: &SimTrouble) {
+    // The queried host responds once it has something newer, or when the query's wait is over.
+    fn poll_query(&mut self, index: usize, asked: usize, faults: &SimFaults) {
         let since = self.hosts[index].busy_until;
         let other = &self.hosts[asked];
-        let is_heard = other.is_up && (trouble.path)(&self.hosts[index].entry, &other.entry);
+        let is_reachable = other.is_up && (faults.path)(&self.hosts[index].entry, &other.entry);
         let now = self.local_now(index);
-        if !is_heard {
-            if self.now >= since + PATIENCE || !other.is_up {
+        if !is_reachable {
+            if self.now >= since + QUERY_TIMEOUT || !other.is_up {
                 let name = other.entry.name.clone();
-                self.hosts[index].choice.note_silent(&name, now);
+                self.hosts[index].choice.note_timeout(&name, now);
                 self.hosts[index].asked = None;
             }
             return;
         }
         let is_newer =
             self.position_of(asked) > self.position_of(index) || self.has_crash_news(index, asked);
-        if !is_newer && self.now < since + QUESTION {
+        if !is_newer && self.now < since + QUERY_WAIT {
             return;
         }
         let name = other.entry.name.clone();
@@ -272,13 +279,13 @@
         let is_unknowing = other.confirmed.is_none() && self.hosts[index].confirmed.is_some();
         let choice = &mut self.hosts[index].choice;
         match is_unknowing {
-            true => choice.note_unknowing(&name, now),
-            false => choice.note_heard(&name, now),
+            true => choice.note_without_data(&name, now),
+            false => choice.note_response(&name, now),
         }
         self.hosts[index].asked = None;
         self.hosts[index].is_lost = is_lost;
         self.take(index, asked);
-        self.ask_newest(index, trouble);
+        self.query_newest(index, faults);
     }
 
     fn take(&mut self, index: usize, from: usize) {
@@ -294,7 +301,7 @@
         };
         let era = self.hosts[from].era;
         if era > self.hosts[index].era {
-            self.hosts[from].told_whole += 1;
+            self.hosts[from].full_lists_sent += 1;
         }
         let host = &mut self.hosts[index];
         host.era = host.era.max(era);
@@ -313,7 +320,7 @@
         host.choice.set_hosts(all.iter());
     }
 
-    fn ask_newest(&mut self, index: usize, trouble: &SimTrouble) {
+    fn query_newest(&mut self, index: usize, faults: &SimFaults) {
         let host = &self.hosts[index];
         let Some((newest, at)) = host.newest else {
             return;
@@ -322,15 +329,15 @@
             || self.hosts[newest].version > host.version;
         if is_newer
             && self.hosts[newest].is_up
-            && (trouble.path)(&host.entry, &self.hosts[newest].entry)
+            && (faults.path)(&host.entry, &self.hosts[newest].entry)
         {
             self.take(index, newest);
         }
     }
 
-    fn read(&mut self, index: usize, trouble: &SimTrouble) {
+    fn read(&mut self, index: usize, faults: &SimFaults) {
         let now = self.now;
-        let is_served = (trouble.store)(&self.hosts[index].entry);
+        let is_served = (faults.store)(&self.hosts[index].entry);
         let knew = self.hosts[index].confirmed.is_some();
         self.calls += if knew { KINDS } else { START_CALLS };
         if is_served && knew && self.hosts[index].era < self.era {
@@ -347,7 +354,7 @@
         let host = &mut self.hosts[index];
         let is_change = host.version < version && host.choice.is_served(local);
         if is_served {
-            // What is answered now was sent at the last look; the first call is answered at once.
+            // This response belongs to the watch sent at the last read; the first call gets its response at once.
             host.proved = host.proved.max(Some(host.watched.unwrap_or(now)));
             host.watched = Some(now);
             (host.confirmed, host.version, host.failures) = (Some(now), self.version, 0);
@@ -360,27 +367,27 @@
                 Duration::from_millis(now - started),
             );
             let is_news = choice.served() != served;
-            host.busy_until = now + if is_reader { WATCH } else { LOOK };
+            host.busy_until = now + if is_reader { WATCH_WAIT } else { READ_INTERVAL };
             if is_news || is_change {
-                self.tell_head(index, trouble);
+                self.report_to_head(index, faults);
             }
             return;
         }
-        // One that knows no hosts reads them too, and asks as readers do.
+        // A host without the list of hosts reads that too and backs off like a reader.
         let pauses = if is_reader || !host.knows_hosts {
-            READER_PAUSES
+            READER_BACKOFF
         } else {
-            FOLLOWER_PAUSES
+            FOLLOWER_BACKOFF
         };
         host.busy_until = now + pauses.after(host.failures, draw).as_millis() as u64;
         host.failures += 1;
         host.watched = None;
         host.is_lost = true;
-        self.ask_others(index, trouble);
+        self.query_other_heads(index, faults);
     }
 
-    // The store turns this host away: heads of other zones and the newest reporter may know more.
-    fn ask_others(&mut self, index: usize, trouble: &SimTrouble) {
+    // After a failed read, heads of other zones and the newest reporter may have newer data.
+    fn query_other_heads(&mut self, index: usize, faults: &SimFaults) {
         let heads = self.hosts[index].choice.other_heads(self.local_now(index));
         let asked: Vec<HostEntry> = heads.sample(&mut self.rng, 2).cloned().collect();
         for entry in asked {
@@ -391,40 +398,40 @@
             else {
                 continue;
             };
-            if self.hosts[other].is_up && (trouble.path)(&self.hosts[index].entry, &entry) {
+            if self.hosts[other].is_up && (faults.path)(&self.hosts[index].entry, &entry) {
                 self.take(index, other);
             }
         }
-        self.ask_newest(index, trouble);
+        self.query_newest(index, faults);
     }
 
-    fn ask_seed(&mut self, index: usize, trouble: &SimTrouble) {
+    fn query_seed(&mut self, index: usize, faults: &SimFaults) {
         let seed = *self.seeds.choose(&mut self.rng).unwrap();
         self.hosts[index].busy_until = self.now + 100;
         let other = &self.hosts[seed];
-        let is_heard = other.is_up && (trouble.path)(&self.hosts[index].entry, &other.entry);
-        if seed == index || !is_heard {
+        let is_reachable = other.is_up && (faults.path)(&self.hosts[index].entry, &other.entry);
+        if seed == index || !is_reachable {
             return;
         }
         let knows_hosts = other.knows_hosts;
-        self.hosts[index].choice.note_seed();
+        self.hosts[index].choice.note_seed_response();
         if !knows_hosts {
             return;
         }
         let all: Vec<HostEntry> = self.hosts.iter().map(|host| host.entry.clone()).collect();
         let zone = self.hosts[index].entry.zone.clone();
-        let guides = relay::guides_of(all.into_iter(), &zone);
-        self.hosts[index].choice.set_hosts(guides.iter());
+        let starting_points = relay::starting_points(all.into_iter(), &zone);
+        self.hosts[index].choice.set_hosts(starting_points.iter());
         self.hosts[index].busy_until = self.now;
     }
 
-    fn report(&mut self, index: usize, trouble: &SimTrouble) {
-        if (self.now + index as u64 * STEP).is_multiple_of(REPORT) {
-            self.tell_head(index, trouble);
+    fn report(&mut self, index: usize, faults: &SimFaults) {
+        if (self.now + index as u64 * STEP).is_multiple_of(REPORT_INTERVAL) {
+            self.report_to_head(index, faults);
         }
     }
 
-    fn tell_head(&mut self, index: usize, trouble: &SimTrouble) {
+    fn report_to_head(&mut self, index: usize, faults: &SimFaults) {
         let host = &self.hosts[index];
         let (Some(head), Some(confirmed)) =
             (host.choice.head(self.local_now(index)), host.confirmed)
@@ -436,17 +443,17 @@
             .iter()
             .position(|other| other.entry.name == head.name)
             .unwrap();
-        if !(trouble.path)(&host.entry, &self.hosts[head].entry) {
+        if !(faults.path)(&host.entry, &self.hosts[head].entry) {
             return;
         }
         if !self.hosts[head].is_lost {
             let now = self.local_now(index);
-            self.hosts[index].choice.note_store_back(now);
+            self.hosts[index].choice.note_store_recovered(now);
         }
         let known = &mut self.hosts[head].newest;
         if known.is_none_or(|(_, at)| confirmed > at) {
             *known = Some((index, confirmed));
         }
-        self.ask_newest(head, trouble);
+        self.query_newest(head, faults);
     }
 }
--- a/tests/relay_reach.rs
+++ b/tests/relay_reach.rs
@@ -1,10 +1,10 @@
-//! Plain requests whose servers cannot be reached.
+//! Plain requests to unreachable servers.
 
 mod backends;
 
 use {
     crate::backends::backend,
-    bayplank::relay::{BackendBook, BackendFailure, PlainChoice, SendWish},
+    bayplank::relay::{BackendFailure, BackendRegistry, PlainChoice, SendConstraints},
     faststr::FastStr,
     std::time::Duration,
 };
@@ -14,38 +14,42 @@
 }
 
 #[test]
-fn where_all_servers_fail_one_request_at_a_time_shows_whether_one_answers_again() {
-    let mut book = BackendBook::default();
+fn when_all_servers_fail_one_request_at_a_time_probes_each() {
+    let mut book = BackendRegistry::default();
     let (near, far) = (backend("near", "z", None), backend("far", "y", None));
     book.set_backends(vec![near.clone(), far.clone()]);
     for id in ["near", "far"] {
-        book.failed(id, BackendFailure::Silent, millis(0));
+        book.note_failure(id, BackendFailure::Silent, millis(0));
     }
-    let choose = |book: &BackendBook, at| {
-        book.choose_plain("one", "z", &[], SendWish::default(), millis(at))
+    let choose = |book: &BackendRegistry, at| {
+        book.choose_plain("one", "z", &[], SendConstraints::default(), millis(at))
     };
     let PlainChoice::Send(first) = choose(&book, 10) else {
-        panic!("one request is to try");
+        panic!("one request should probe the first server");
     };
-    let call = book.call_began(&first.id, false, millis(10));
+    let call = book.call_started(&first.id, false, millis(10));
     let PlainChoice::Send(second) = choose(&book, 11) else {
-        panic!("one request is to try the other server");
+        panic!("one request should probe the other server");
     };
     assert_ne!(first.id, second.id);
-    book.call_began(&second.id, false, millis(11));
+    book.call_started(&second.id, false, millis(11));
     assert_eq!(choose(&book, 12), PlainChoice::Unreachable);
     let tried = [first.id.clone()];
-    let again = book.choose_plain("one", "z", &tried, SendWish::default(), millis(12));
-    assert_eq!(again, PlainChoice::Unreachable, "it would be held in vain");
-    book.answered(&first.id, true);
+    let again = book.choose_plain("one", "z", &tried, SendConstraints::default(), millis(12));
+    assert_eq!(
+        again,
+        PlainChoice::Unreachable,
+        "a request that failed once must not wait for a probe"
+    );
+    book.note_response(&first.id, true);
     book.call_ended(&first.id, call);
     assert_eq!(choose(&book, 13), PlainChoice::Send(first));
 }
 
 #[test]
-fn of_many_requests_to_servers_that_cannot_be_reached_few_are_held() {
-    // 100 requests a second for two seconds; each that is sent finds no connection within 0.3 s.
-    let mut book = BackendBook::default();
+fn few_requests_to_unreachable_servers_are_held() {
+    // 100 requests a second for two seconds; each one that is sent times out after 0.3 s without a connection.
+    let mut book = BackendRegistry::default();
     book.set_backends(vec![backend("w-1", "y", None), backend("w-2", "y", None)]);
     let mut open: Vec<(FastStr, u64, u64)> = Vec::new();
     let mut held = 0;
@@ -53,16 +57,16 @@
         while let Some(index) = open.iter().position(|(_, _, until)| *until <= at) {
             let (id, call, until) = open.remove(index);
             book.call_ended(&id, call);
-            book.failed(&id, BackendFailure::Silent, millis(until));
+            book.note_failure(&id, BackendFailure::Silent, millis(until));
         }
         if let PlainChoice::Send(server) =
-            book.choose_plain("one", "z", &[], SendWish::default(), millis(at))
+            book.choose_plain("one", "z", &[], SendConstraints::default(), millis(at))
         {
             held += 1;
-            let call = book.call_began(&server.id, false, millis(at));
+            let call = book.call_started(&server.id, false, millis(at));
             open.push((server.id, call, at + 300));
         }
     }
-    // All 200 were held before: for 0.3 s, or for 0.6 s at two servers.
+    // Without probing by single requests all 200 were held for 0.3 s, or for 0.6 s at two servers.
     assert!(held <= 60, "{held} of 200 were held");
 }
